--- a/crates/tansyknot-fleet/src/access.rs
+++ b/crates/tansyknot-fleet/src/access.rs
@@ -1,7 +1,7 @@
-//! Who asks, whether the key still holds, and what the team may use: decided before a request waits
-//! for anything, without threads or sockets.
+//! Access control for requests: identifies the team of a request, checks its key, and charges the
+//! team's quota, before the request waits for anything. Has no threads or sockets.
 //!
-//! `serve` asks, `conduct` carries the questions to the planner and its answers back.
+//! `serve` calls this module. `conduct` exchanges its messages with the planner.
 
 pub mod account;
 pub mod lending;
@@ -20,32 +20,32 @@
     view::{KeyView, ViewOptions},
 };
 
-/// Why a request with a key, or without one, is not taken.
+/// Why a request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// Nobody holds the key, or there is none.
+    /// No team has the key, or the request has none.
     UnknownKey,
-    /// This daemon's view is too old to tell.
+    /// This daemon's view of the keys is too old to decide.
     StaleKeys,
 }
 
-/// What is known of a request when it is judged.
+/// The facts by which a request is identified.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim<'a> {
-    /// The key that it came with.
+    /// The key that the request carries.
     pub key: Option<&'a str>,
-    /// When it had arrived. It was sent no later, and what counts is when it was sent: one that waits
-    /// for a load after that is not judged again.
+    /// When the request had arrived. It was sent no later, and its key has to be valid when it is
+    /// sent: a request that then waits for a load is not checked again.
     pub arrived: Time,
-    /// The version of the configuration that `Teams` is of.
+    /// The version of the configuration that `Teams` belongs to.
     pub version: u64,
 }
 
-/// Finds the team that a request is of.
+/// Returns the team that sent a request.
 ///
 /// # Errors
 ///
-/// Fails if nobody holds the key, or this daemon can't tell.
+/// Fails if no team has the key, or if this daemon's view of the keys is too old to decide.
 pub fn identify(
     teams: &Teams,
     claim: Claim<'_>,
@@ -60,23 +60,23 @@
     }
 }
 
-/// What became of taking from a quota.
+/// The result of charging a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ruling {
-    /// There was enough.
+    /// The quota had enough units, and they are taken.
     Granted,
-    /// There was not.
+    /// The quota has too few units.
     Over {
-        /// When there should be.
+        /// The expected time until the quota has enough units.
         wait: Duration,
     },
-    /// Nobody has answered who keeps the accounts.
+    /// The planner, which maintains the accounts, has not replied.
     Unknown,
 }
 
-/// Takes from the quotas of teams, over all daemons.
+/// Charges the quotas of teams, over all daemons.
 pub trait Quotas: Send + Sync {
-    /// Takes `units`, waiting for who keeps the accounts for `patience` at most.
+    /// Takes `units` of a team's quota; waits for the planner's reply for at most `patience`.
     fn take(&self, team: &TeamName, units: f64, patience: Duration) -> Ruling;
 }
 
@@ -85,11 +85,11 @@
 pub struct AccessOptions {
     /// How old a view of the keys may be.
     pub view: ViewOptions,
-    /// The window in which a quota is counted.
+    /// The window in which the use of a quota is counted.
     pub window: Duration,
-    /// What may be used beyond a quota, as a share of it.
+    /// What may be used beyond a quota, as a fraction of it.
     pub overshoot: f64,
-    /// What may be used beyond that.
+    /// The units that may be used beyond quota and overshoot.
     pub slack: f64,
 }
 
--- a/crates/tansyknot-fleet/src/access/lending.rs
+++ b/crates/tansyknot-fleet/src/access/lending.rs
@@ -1,4 +1,5 @@
-//! The planner's books: an account for each team, and what each daemon may use without asking.
+//! The planner's quota accounts: one for each team, and the share of each quota that a daemon may
+//! use without asking the planner.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,26 +13,29 @@
     team::Teams,
 };
 
-/// The share of a quota that is lent: the rest is for what shares have saved up, and for daemons that
-/// hear of the next planner later than others.
-const LENT: f64 = 0.65;
-/// All daemons count as using this part of a quota at least. Where a team begins to ask everywhere at
-/// once, or the books are new, who is heard first would be lent the quota whole, and so would the next.
-const USED_LEAST: f64 = 0.5;
-/// Of what is lent, the part that all daemons have alike, whatever they have used.
-const ALIKE: f64 = 0.1;
-/// Answers that are remembered, so that a question that is asked twice is counted once.
-const ANSWERS_KEPT: Duration = Duration::from_millis(1000);
-/// At most as many of them: a thousand questions a second.
-const ANSWERS_MOST: usize = 2048;
-/// Daemons have told what they used of an earlier planner's shares by this time after books are opened.
-const SETTLED_AFTER: Duration = Duration::from_millis(1500);
-/// Books that were not kept for as long are those of a planner that was away.
-const KEPT_FOR: Duration = Duration::from_millis(1500);
-/// How often it is logged of a team that requests are refused for its quota.
-const REFUSALS_LOGGED: Duration = Duration::from_secs(1);
+/// The fraction of a quota that is lent. The remainder covers what shares have saved up, and
+/// daemons that learn of the next planner later than others.
+const LENT_FRACTION: f64 = 0.65;
+/// The lowest use by all daemons, as a fraction of a quota, that shares are computed from. Without
+/// it, when a team begins to send requests everywhere at once or the accounts are new, the first
+/// daemon to report would be lent the full quota, and so would the next.
+const MIN_USED_FRACTION: f64 = 0.5;
+/// The fraction of the lent units that is divided equally among all daemons, whatever they have
+/// used.
+const EQUAL_FRACTION: f64 = 0.1;
+/// How long verdicts are stored, so that a repeated request is counted once.
+const VERDICT_RETENTION: Duration = Duration::from_millis(1000);
+/// The maximum number of stored verdicts, enough for a thousand requests a second.
+const MAX_VERDICTS: usize = 2048;
+/// By this time after the accounts are opened, daemons have reported what they used of an earlier
+/// planner's shares.
+const SETTLING_PERIOD: Duration = Duration::from_millis(1500);
+/// Accounts that were not maintained for this long are opened anew: the planner was absent.
+const MAX_MAINTENANCE_GAP: Duration = Duration::from_millis(1500);
+/// How often the refusals for a team's quota are logged.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What became of a team's questions since it was logged last.
+/// The units granted and refused to a team since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     granted: f64,
@@ -39,56 +43,56 @@
     logged: Time,
 }
 
-/// What is known of one daemon.
+/// What the planner has recorded of one daemon.
 #[derive(Debug, Default)]
 struct Borrower {
-    heard: Time,
-    /// Units a second of each team, as it says.
+    last_seen: Time,
+    /// The units a second that it reports for each team.
     uses: HashMap<TeamName, f64>,
-    /// Units a second that it was lent last.
+    /// The units a second of each team that it was last lent.
     lent: HashMap<TeamName, f64>,
-    /// Until when its silence has been put down.
-    charged: Time,
+    /// The time up to which its use while unresponsive has been charged.
+    charged_until: Time,
 }
 
-/// A request that asks for a part of its team's quota.
+/// A request for units of a team's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
-    /// Where its daemon hears.
+    /// The address of the daemon that sent the request.
     pub from: SocketAddr,
-    /// Names the question at that daemon.
+    /// The number of the request at that daemon.
     pub number: u32,
     /// The team.
     pub team: &'a TeamName,
-    /// What it takes.
+    /// The units that it takes.
     pub units: f64,
 }
 
-/// The accounts of all teams, and what daemons were lent of them, as one planner keeps them.
+/// The accounts of all teams and the shares that daemons were lent, as one planner maintains them.
 #[derive(Debug, Default)]
 pub struct Books {
-    /// The fencing token of the planner that keeps them.
+    /// The fencing token of the planner that maintains the accounts.
     fence: u64,
     opened: Time,
-    kept: Time,
+    maintained_at: Time,
     accounts: HashMap<TeamName, Account>,
     borrowers: HashMap<SocketAddr, Borrower>,
-    /// What all borrowers use, in units a second.
+    /// The use by all daemons together, in units a second.
     used: HashMap<TeamName, f64>,
-    answers: HashMap<(SocketAddr, u32), (Verdict, Time)>,
+    verdicts: HashMap<(SocketAddr, u32), (Verdict, Time)>,
     tallies: HashMap<TeamName, Tally>,
 }
 
 impl Books {
-    /// Opens new books for the planner with `fence`, unless these are its own: those of an earlier time
-    /// lack what was used since.
+    /// Opens new accounts for the planner with `fence`, unless the current ones are its own and
+    /// were maintained recently: older ones lack what was used since.
     pub fn begin(&mut self, fence: u64, now: Time) {
-        if self.fence != fence || now.since(self.kept) >= KEPT_FOR {
-            *self = Self { fence, opened: now, kept: now, ..Self::default() };
+        if self.fence != fence || now.since(self.maintained_at) >= MAX_MAINTENANCE_GAP {
+            *self = Self { fence, opened: now, maintained_at: now, ..Self::default() };
         }
     }
 
-    /// Decides on a request.
+    /// Decides whether a request gets its units.
     pub fn take(
         &mut self,
         asked: Asked<'_>,
@@ -97,7 +101,7 @@
         now: Time,
     ) -> Verdict {
         let Asked { from, number, team, units } = asked;
-        if let Some((verdict, _)) = self.answers.get(&(from, number)) {
+        if let Some((verdict, _)) = self.verdicts.get(&(from, number)) {
             return *verdict;
         }
         let outcome = match self.account(team, teams, options, now) {
@@ -115,13 +119,13 @@
             Verdict::Over { .. } => tally.refused += units,
             Verdict::Later => {}
         }
-        self.remember((from, number), verdict, now);
+        self.store_verdict((from, number), verdict, now);
         verdict
     }
 
     fn log_refusals(&mut self, now: Time) {
         for (team, tally) in &mut self.tallies {
-            if now.since(tally.logged) < REFUSALS_LOGGED {
+            if now.since(tally.logged) < REFUSAL_LOG_INTERVAL {
                 continue;
             }
             let Tally { granted, refused, logged } = std::mem::take(tally);
@@ -139,16 +143,16 @@
         }
     }
 
-    fn remember(&mut self, question: (SocketAddr, u32), verdict: Verdict, now: Time) {
-        if self.answers.len() >= ANSWERS_MOST {
-            self.answers.retain(|_, (_, at)| now.since(*at) < ANSWERS_KEPT);
+    fn store_verdict(&mut self, request: (SocketAddr, u32), verdict: Verdict, now: Time) {
+        if self.verdicts.len() >= MAX_VERDICTS {
+            self.verdicts.retain(|_, (_, at)| now.since(*at) < VERDICT_RETENTION);
         }
-        if self.answers.len() < ANSWERS_MOST {
-            self.answers.insert(question, (verdict, now));
+        if self.verdicts.len() < MAX_VERDICTS {
+            self.verdicts.insert(request, (verdict, now));
         }
     }
 
-    /// Takes in what a daemon says of its use.
+    /// Records the use that a daemon reports.
     pub fn hear(
         &mut self,
         from: SocketAddr,
@@ -158,7 +162,7 @@
         now: Time,
     ) {
         let borrower = self.borrowers.entry(from).or_default();
-        (borrower.heard, borrower.charged) = (now, now);
+        (borrower.last_seen, borrower.charged_until) = (now, now);
         for (team, per_s) in borrower.uses.drain() {
             *self.used.entry(team).or_default() -= per_s;
         }
@@ -167,11 +171,11 @@
             borrower.uses.insert(item.team.clone(), per_s);
             *self.used.entry(item.team.clone()).or_default() += per_s;
         }
-        let is_settled = now.since(self.opened) >= SETTLED_AFTER;
+        let is_settled = now.since(self.opened) >= SETTLING_PERIOD;
         for item in uses {
             let Some(account) = self.account(&item.team, teams, options, now) else { continue };
             account.charge(f64::from(item.again), now);
-            // What was lent before the books were opened is not theirs.
+            // Units that were lent before the accounts were opened don't belong to them.
             if is_settled {
                 account.charge(f64::from(item.lent), now);
             }
@@ -182,64 +186,66 @@
         }
     }
 
-    /// Returns what a daemon may use without asking.
+    /// Returns the shares that a daemon may use without asking the planner.
     pub fn lend(&mut self, to: SocketAddr, teams: &Teams, now: Time) -> Vec<Lent> {
         let count = self.borrowers.len().max(1) as f64;
         let Some(borrower) = self.borrowers.get(&to) else { return Vec::new() };
         let lent = |team: &TeamName, own: f64| {
             let rate = teams.quota(team)?.rate;
-            let all = self.used.get(team).copied().unwrap_or(0.0).max(rate * USED_LEAST);
-            let part = ALIKE / count + (1.0 - ALIKE) * own / all;
-            Some((team.clone(), rate * LENT * part))
+            let all_used =
+                self.used.get(team).copied().unwrap_or(0.0).max(rate * MIN_USED_FRACTION);
+            let allotment = EQUAL_FRACTION / count + (1.0 - EQUAL_FRACTION) * own / all_used;
+            Some((team.clone(), rate * LENT_FRACTION * allotment))
         };
         let lent: HashMap<TeamName, f64> =
             borrower.uses.iter().filter_map(|(team, own)| lent(team, *own)).collect();
-        let told = lent.iter().map(|(team, rate)| Lent { team: team.clone(), rate: *rate as u32 });
-        let told = told.collect();
+        let shares =
+            lent.iter().map(|(team, rate)| Lent { team: team.clone(), rate: *rate as u32 });
+        let shares = shares.collect();
         if let Some(borrower) = self.borrowers.get_mut(&to) {
             borrower.lent = lent;
-            borrower.heard = now;
+            borrower.last_seen = now;
         }
-        told
+        shares
     }
 
-    /// Opens the accounts of new teams, puts down what daemons that are silent may use of their shares,
-    /// and forgets those whose shares are over.
+    /// Opens the accounts of new teams, charges the shares of unresponsive daemons, and removes
+    /// daemons whose shares have expired.
     pub fn keep(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
-        self.kept = now;
+        self.maintained_at = now;
         self.accounts.retain(|team, _| teams.quota(team).is_some());
         for team in teams.all() {
             self.account(&team.name, teams, options, now);
         }
         self.tallies.retain(|team, _| self.accounts.contains_key(team));
         self.log_refusals(now);
-        self.charge_silent(teams, options, now);
+        self.charge_unresponsive(teams, options, now);
     }
 
-    fn charge_silent(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
+    fn charge_unresponsive(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
         let mut used: Vec<(TeamName, f64)> = Vec::new();
         for b in self.borrowers.values_mut() {
-            if now.since(b.heard) < SILENT_AFTER {
+            if now.since(b.last_seen) < SILENT_AFTER {
                 continue;
             }
-            let until = now.min(b.heard + SILENT_AFTER + LIFE);
-            let span = until.since(b.charged).as_secs_f64();
-            b.charged = b.charged.max(until);
-            used.extend(b.lent.iter().map(|(team, rate)| (team.clone(), rate * span)));
+            let until = now.min(b.last_seen + SILENT_AFTER + LIFE);
+            let elapsed = until.since(b.charged_until).as_secs_f64();
+            b.charged_until = b.charged_until.max(until);
+            used.extend(b.lent.iter().map(|(team, rate)| (team.clone(), rate * elapsed)));
         }
         for (team, units) in used {
             if let Some(account) = self.account(&team, teams, options, now) {
                 account.charge(units, now);
             }
         }
-        self.borrowers.retain(|_, b| now.since(b.heard) < SILENT_AFTER + LIFE);
+        self.borrowers.retain(|_, b| now.since(b.last_seen) < SILENT_AFTER + LIFE);
         self.used.clear();
         for (team, per_s) in self.borrowers.values().flat_map(|b| &b.uses) {
             *self.used.entry(team.clone()).or_default() += per_s;
         }
     }
 
-    /// Returns what the accounts have left.
+    /// Returns the units left in each account.
     pub fn left(&self, now: Time) -> Vec<(TeamName, f64)> {
         self.accounts.iter().map(|(team, account)| (team.clone(), account.left(now))).collect()
     }
--- a/crates/tansyknot-fleet/src/access/message.rs
+++ b/crates/tansyknot-fleet/src/access/message.rs
@@ -1,4 +1,4 @@
-//! What daemons and the planner tell each other of keys and quotas. No key is among it.
+//! Messages between daemons and the planner about keys and quotas. They contain no keys.
 
 use serde::{Deserialize, Serialize};
 use tansyknot_core::{clock::Time, name::TeamName};
@@ -12,49 +12,49 @@
     pub age_ms: u32,
 }
 
-/// What a daemon uses of a team's quota.
+/// A daemon's use of a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamUse {
     /// The team.
     pub team: TeamName,
-    /// Units a second that its requests ask for, of late.
+    /// The units a second that its requests ask for, averaged over the last seconds.
     pub per_s: u32,
-    /// Units that second sends have taken since the last such message.
+    /// The units that retries have taken since the last such message.
     pub again: u32,
-    /// Units that were taken of what was lent since then.
+    /// The units of the lent share that were taken since then.
     pub lent: u32,
-    /// What was given back since then.
+    /// The units that were given back since then.
     pub back: Vec<Back>,
 }
 
-/// When a daemon asked, by its own clock, and which run of it: an answer to an earlier run proves
-/// nothing to this one, whose clock has begun anew.
+/// When a daemon sent a message, by its own clock, and the run of the daemon that sent it. A reply
+/// to an earlier run proves nothing to a later one, whose clock starts anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Drawn by each run.
+    /// A random number that identifies the run.
     pub run: u64,
     /// The time, in microseconds.
     pub us: u64,
 }
 
 impl Stamp {
-    /// Returns when it was made, if this run made it.
+    /// Returns when the message was sent, if `run` sent it.
     pub fn asked_at(self, run: u64, now: Time) -> Option<Time> {
         let at = Time::from_micros(self.us);
         (self.run == run && at <= now).then_some(at)
     }
 }
 
-/// A daemon's question to the planner, with each beat.
+/// A daemon's report to the planner, sent with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// When it was asked; the answer has it again.
+    /// When it was sent; the reply repeats the stamp.
     pub stamp: Stamp,
-    /// What it uses of quotas.
+    /// The daemon's use of quotas.
     pub uses: Vec<TeamUse>,
 }
 
-/// What a daemon may use without asking.
+/// The share of a team's quota that a daemon may use without asking the planner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lent {
     /// The team.
@@ -63,51 +63,52 @@
     pub rate: u32,
 }
 
-/// The planner's answer.
+/// The planner's reply to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// The planner's fencing token.
     pub fence: u64,
-    /// The stamp of the question.
+    /// The stamp of the report.
     pub stamp: Stamp,
-    /// The configuration that the planner has in force.
+    /// The version of the configuration that the planner has in force.
     pub config: u64,
-    /// How long before this answer it is known to have been the newest, in milliseconds, rounded up.
+    /// How long before this reply that version is known to have been the newest, in milliseconds,
+    /// rounded up.
     pub config_age_ms: Option<u32>,
-    /// What the daemon may use without asking.
+    /// The shares that the daemon may use without asking the planner.
     pub lent: Vec<Lent>,
 }
 
-/// A request asks whether its team's quota has room for it.
+/// Asks the planner for units of a team's quota, for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Take {
-    /// Names the question.
+    /// Identifies this message at its daemon; the reply repeats it.
     pub number: u32,
     /// The team.
     pub team: TeamName,
-    /// What the request takes.
+    /// The units that the request takes.
     pub units: u32,
 }
 
-/// Whether a quota has room.
+/// Whether a quota has enough units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It has, and the units are taken.
+    /// It has, and they are taken.
     Granted,
-    /// The account has just been opened, and whoever asks may ask again soon.
+    /// The account has just been opened; the daemon may ask again soon.
     Later,
-    /// It has not.
+    /// It has too few.
     Over {
-        /// When it should have, in milliseconds from now.
+        /// When it should have enough, in milliseconds from now.
         wait_ms: u32,
     },
 }
 
-/// The answer to [`Take`].
+/// The reply to [`Take`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Taken {
-    /// Names the question.
+    /// The number of the [`Take`].
     pub number: u32,
-    /// The answer.
+    /// The verdict.
     pub verdict: Verdict,
 }
--- a/crates/tansyknot-fleet/src/access/pending.rs
+++ b/crates/tansyknot-fleet/src/access/pending.rs
@@ -1,4 +1,5 @@
-//! What a daemon has asked and used of quotas and not been answered or told yet.
+//! A daemon's side of all quotas: its requests that wait for the planner, and its use since the
+//! last report.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,52 +10,57 @@
     share::Share,
 };
 
-/// How fast the rate that requests ask for follows them.
-const RATE_SPAN: Duration = Duration::from_secs(2);
-/// A team that asked for nothing for as long is not told of any more.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
-/// Amounts of a team that are given back in one message at most.
-const BACK_MOST: usize = 3;
-/// Teams that a message tells of at most, those that use most: it has to fit into a datagram.
-const TEAMS_MOST: usize = 20;
-/// How long before its end a request was taken at most for what it took to be given back.
-const BACK_SPAN: Duration = Duration::from_secs(8);
-
-/// What this daemon uses of one team's quota.
+/// The time constant of the average rate that requests ask for.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
+/// A team without requests for this long is no longer reported.
+const IDLE_TEAM_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum number of amounts given back for a team in one message.
+const MAX_RETURNED_AMOUNTS: usize = 3;
+/// The maximum number of teams in one message, those with the most use: the message has to fit into
+/// a datagram.
+const MAX_REPORTED_TEAMS: usize = 20;
+/// Units are given back only if they were taken less than this long ago.
+const MAX_RETURN_AGE: Duration = Duration::from_secs(8);
+
+/// This daemon's use of one team's quota.
 #[derive(Debug)]
-struct Use {
-    /// Units a second, of late.
+struct Usage {
+    /// Units a second, averaged over the last seconds, as of `at`.
     per_s: f64,
     at: Time,
-    again: f64,
+    retried: f64,
     lent: f64,
     back: Vec<(f64, Time)>,
     share: Option<Share>,
 }
 
-impl Use {
+impl Usage {
     fn new(now: Time) -> Self {
-        Self { per_s: 0.0, at: now, again: 0.0, lent: 0.0, back: Vec::new(), share: None }
+        Self { per_s: 0.0, at: now, retried: 0.0, lent: 0.0, back: Vec::new(), share: None }
     }
 
-    /// Returns the units a second that are asked for, of late.
+    /// Returns the average units a second that are asked for.
     fn rate(&self, now: Time) -> f64 {
-        self.per_s * (-now.since(self.at).as_secs_f64() / RATE_SPAN.as_secs_f64()).exp()
+        self.per_s * (-now.since(self.at).as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Returns what the planner is told, and takes it for told.
-    fn tell(&mut self, team: &TeamName, now: Time) -> TeamUse {
+    /// Returns the report to the planner, and resets the amounts that it contains.
+    fn take_report(&mut self, team: &TeamName, now: Time) -> TeamUse {
         TeamUse {
             team: team.clone(),
             per_s: self.rate(now) as u32,
-            again: std::mem::take(&mut self.again) as u32,
+            again: std::mem::take(&mut self.retried) as u32,
             lent: std::mem::take(&mut self.lent) as u32,
-            back: self.back.drain(..).map(|(units, taken)| back(units, now.since(taken))).collect(),
+            back: self
+                .back
+                .drain(..)
+                .map(|(units, taken)| returned_units(units, now.since(taken)))
+                .collect(),
         }
     }
 
-    fn asked(&mut self, units: f64, now: Time) {
-        self.per_s = self.rate(now) + units / RATE_SPAN.as_secs_f64();
+    fn record_request(&mut self, units: f64, now: Time) {
+        self.per_s = self.rate(now) + units / RATE_TIME_CONSTANT.as_secs_f64();
         self.at = now;
     }
 }
@@ -62,122 +68,128 @@
 /// This daemon's side of all quotas.
 #[derive(Debug, Default)]
 pub struct Pending {
-    uses: HashMap<TeamName, Use>,
-    /// Questions of requests that wait, and their answers.
-    questions: HashMap<u32, Option<Verdict>>,
+    uses: HashMap<TeamName, Usage>,
+    /// The requests that wait, by number, and their verdicts.
+    requests: HashMap<u32, Option<Verdict>>,
     number: u32,
-    /// Drawn by each run of a daemon.
+    /// A random number that identifies this run of the daemon.
     run: u64,
-    /// When the last question was asked that a planner has answered.
-    heard: Option<Time>,
+    /// When the last report was sent that a planner has replied to.
+    last_answered_report: Option<Time>,
 }
 
 impl Pending {
-    /// Makes what a run of a daemon has asked that has not asked anything yet. Its questions have numbers
-    /// that no earlier run had lately.
+    /// Creates the state of a daemon's run that has asked for nothing yet. Its requests have
+    /// numbers that no earlier run used recently.
     pub fn of_run(run: u64) -> Self {
         Self { run, number: run as u32, ..Self::default() }
     }
 
-    /// Returns when an answered question was asked, if this run did.
+    /// Returns when the report was sent that a reply belongs to, if this run sent it.
     pub fn asked_at(&self, stamp: Stamp, now: Time) -> Option<Time> {
         stamp.asked_at(self.run, now)
     }
 
-    /// Returns how long ago the last question was asked that a planner has answered; a daemon that has
-    /// just started begins with that.
+    /// Returns how long ago the last report was sent that a planner has replied to. Without a
+    /// reply, the time counts from the first call.
     pub fn silent_for(&mut self, now: Time) -> Duration {
-        now.since(*self.heard.get_or_insert(now))
+        now.since(*self.last_answered_report.get_or_insert(now))
     }
 
-    /// Begins a question of a request of `units`; returns its number.
+    /// Registers a request for `units`; returns its number.
     pub fn ask(&mut self, team: &TeamName, units: f64, now: Time) -> u32 {
-        self.of(team, now).asked(units, now);
+        self.usage(team, now).record_request(units, now);
         self.number = self.number.wrapping_add(1);
-        self.questions.insert(self.number, None);
+        self.requests.insert(self.number, None);
         self.number
     }
 
-    /// Takes an answer in; tells whether somebody waits for it.
+    /// Records a verdict; returns whether a request was waiting for it.
     pub fn answered(&mut self, number: u32, verdict: Verdict) -> bool {
-        let question = self.questions.get_mut(&number);
-        question.is_some_and(|answer| answer.replace(verdict).is_none())
+        let request = self.requests.get_mut(&number);
+        request.is_some_and(|answer| answer.replace(verdict).is_none())
     }
 
-    /// Returns the answer to a question, if it is there.
+    /// Returns the verdict on a request, if it has arrived.
     pub fn answer(&self, number: u32) -> Option<Verdict> {
-        self.questions.get(&number).copied().flatten()
+        self.requests.get(&number).copied().flatten()
     }
 
-    /// Has a question asked again.
+    /// Clears the verdict on a request, so that it can be sent again.
     pub fn ask_again(&mut self, number: u32) {
-        self.questions.insert(number, None);
+        self.requests.insert(number, None);
     }
 
-    /// Ends a question.
+    /// Removes a request.
     pub fn end(&mut self, number: u32) {
-        self.questions.remove(&number);
+        self.requests.remove(&number);
     }
 
-    /// Takes `units` of what this daemon was lent; tells whether there was enough.
+    /// Takes `units` of this daemon's share; returns whether the share allows it.
     pub fn take_lent(&mut self, team: &TeamName, units: f64, draw: f64, now: Time) -> bool {
-        let of = self.of(team, now);
-        let is_taken = of.share.as_mut().is_some_and(|share| share.take(units, draw, now));
-        of.lent += if is_taken { units } else { 0.0 };
+        let usage = self.usage(team, now);
+        let is_taken = usage.share.as_mut().is_some_and(|share| share.take(units, draw, now));
+        usage.lent += if is_taken { units } else { 0.0 };
         is_taken
     }
 
-    /// Takes in that the account has granted `units`.
+    /// Deducts from this daemon's share `units` that the account has granted.
     pub fn granted(&mut self, team: &TeamName, units: f64, now: Time) {
-        if let Some(share) = self.of(team, now).share.as_mut() {
+        if let Some(share) = self.usage(team, now).share.as_mut() {
             share.granted(units, now);
         }
     }
 
-    /// Gives back `units` that were taken at `taken`, as no target has run the request.
+    /// Records `units` that were taken at `taken` and are given back, because no target has run the
+    /// request.
     pub fn give_back(&mut self, team: &TeamName, units: f64, taken: Time, now: Time) {
-        let of = self.of(team, now);
-        if now.since(taken) >= BACK_SPAN {
+        let usage = self.usage(team, now);
+        if now.since(taken) >= MAX_RETURN_AGE {
             return;
         }
-        let is_full = of.back.len() >= BACK_MOST;
-        match of.back.last_mut().filter(|_| is_full) {
+        let is_full = usage.back.len() >= MAX_RETURNED_AMOUNTS;
+        match usage.back.last_mut().filter(|_| is_full) {
             Some((sum, at)) => (*sum, *at) = (*sum + units, taken.min(*at)),
-            None => of.back.push((units, taken)),
+            None => usage.back.push((units, taken)),
         }
     }
 
-    /// Takes in that second sends have taken `units` beyond what was asked for.
+    /// Records that retries have taken `units` beyond what was asked for.
     pub fn again(&mut self, team: &TeamName, units: f64, now: Time) {
-        self.of(team, now).again += units;
+        self.usage(team, now).retried += units;
     }
 
-    /// Takes in what the planner with `fence` has lent for a question of `asked`.
-    pub fn lent(&mut self, lent: &[Lent], fence: u64, asked: Time, now: Time) {
-        self.heard = self.heard.max(Some(asked));
+    /// Records the shares that the planner with `fence` has lent in reply to a report sent at
+    /// `requested_at`.
+    pub fn lent(&mut self, lent: &[Lent], fence: u64, requested_at: Time, now: Time) {
+        self.last_answered_report = self.last_answered_report.max(Some(requested_at));
         for Lent { team, rate } in lent {
             let rate = f64::from(*rate);
-            let of = self.of(team, now);
-            let share = of.share.get_or_insert_with(|| Share::new(rate, fence, asked, now));
-            share.renew(rate, fence, asked, now);
+            let usage = self.usage(team, now);
+            let share =
+                usage.share.get_or_insert_with(|| Share::new(rate, fence, requested_at, now));
+            share.renew(rate, fence, requested_at, now);
         }
     }
 
-    /// Returns the question of a beat, and takes what it says for told.
+    /// Returns the report for a heartbeat, and resets the amounts that it contains.
     pub fn question(&mut self, now: Time) -> Question {
-        self.uses.retain(|_, u| now.since(u.at) < FORGOTTEN_AFTER);
-        let mut most_used: Vec<(&TeamName, &mut Use)> = self.uses.iter_mut().collect();
+        self.uses.retain(|_, u| now.since(u.at) < IDLE_TEAM_TIMEOUT);
+        let mut most_used: Vec<(&TeamName, &mut Usage)> = self.uses.iter_mut().collect();
         most_used.sort_by(|(_, a), (_, b)| b.rate(now).total_cmp(&a.rate(now)));
-        let told = most_used.into_iter().take(TEAMS_MOST).map(|(team, u)| u.tell(team, now));
-        let uses = told.collect();
+        let reported = most_used
+            .into_iter()
+            .take(MAX_REPORTED_TEAMS)
+            .map(|(team, u)| u.take_report(team, now));
+        let uses = reported.collect();
         Question { stamp: Stamp { run: self.run, us: now.as_micros() }, uses }
     }
 
-    fn of(&mut self, team: &TeamName, now: Time) -> &mut Use {
-        self.uses.entry(team.clone()).or_insert_with(|| Use::new(now))
+    fn usage(&mut self, team: &TeamName, now: Time) -> &mut Usage {
+        self.uses.entry(team.clone()).or_insert_with(|| Usage::new(now))
     }
 }
 
-fn back(units: f64, age: Duration) -> Back {
+fn returned_units(units: f64, age: Duration) -> Back {
     Back { units: units as u32, age_ms: age.as_millis() as u32 }
 }
--- a/crates/tansyknot-fleet/src/access/share.rs
+++ b/crates/tansyknot-fleet/src/access/share.rs
@@ -1,17 +1,18 @@
-//! What a daemon may use of a team's quota while nobody answers who keeps the account.
+//! The share of a team's quota that a daemon may use while the planner, which maintains the
+//! account, does not reply.
 
 use std::time::Duration;
 
 use tansyknot_core::clock::Time;
 
-/// A planner that has been silent for so long is not waited for before a share is used, and puts what a
-/// daemon may use down from then on.
+/// After this long without a reply, a daemon uses its share without waiting for the planner. After
+/// this long without a report, the planner begins to charge a daemon for its share.
 pub const SILENT_AFTER: Duration = Duration::from_millis(700);
-/// How long a share may be used, from when the daemon asked for it: a planner that is lost is replaced
-/// within this span.
+/// How long a share may be used, counted from when the daemon asked for it. A lost planner is
+/// replaced within this time.
 pub const LIFE: Duration = Duration::from_millis(2300);
-/// A share saves up what it has for this long.
-const SAVED: Duration = Duration::from_millis(150);
+/// The longest time for which unused units of a share accumulate.
+const MAX_SAVED: Duration = Duration::from_millis(150);
 
 /// A share of a quota.
 #[derive(Clone, Copy, Debug)]
@@ -20,56 +21,58 @@
     rate: f64,
     left: f64,
     at: Time,
-    /// When the question was asked that it answers.
-    asked: Time,
+    /// When the report was sent that the planner replied to with this share.
+    requested_at: Time,
     fence: u64,
 }
 
 impl Share {
-    /// Makes a share of `rate` units a second that the planner with `fence` has lent for a question of
-    /// `asked`.
-    pub fn new(rate: f64, fence: u64, asked: Time, now: Time) -> Self {
-        Self { rate, left: 0.0, at: now, asked, fence }
+    /// Creates a share of `rate` units a second that the planner with `fence` has lent in reply to
+    /// a report sent at `requested_at`.
+    pub fn new(rate: f64, fence: u64, requested_at: Time, now: Time) -> Self {
+        Self { rate, left: 0.0, at: now, requested_at, fence }
     }
 
-    /// Takes in a newer answer.
-    pub fn renew(&mut self, rate: f64, fence: u64, asked: Time, now: Time) {
-        if (fence, asked) <= (self.fence, self.asked) {
+    /// Applies a newer reply.
+    pub fn renew(&mut self, rate: f64, fence: u64, requested_at: Time, now: Time) {
+        if (fence, requested_at) <= (self.fence, self.requested_at) {
             return;
         }
         self.fill(now);
-        (self.rate, self.fence, self.asked) = (rate, fence, asked);
-        self.left = self.left.min(self.most());
+        (self.rate, self.fence, self.requested_at) = (rate, fence, requested_at);
+        self.left = self.left.min(self.capacity());
     }
 
-    /// Takes `units`; tells whether that may be. `draw` is drawn evenly from 0 to 1.
+    /// Takes `units`; returns whether that is allowed. `draw` is a random number, uniform from 0 to
+    /// 1.
     ///
-    /// A share may be far less than a request. Who asks for more than is left gets all as often as not
-    /// to exceed what is left on average, and what was left is gone either way.
+    /// A share may be far smaller than one request. A request for more than is left is allowed with
+    /// a probability of what is left divided by its units, so that on average no more than what is
+    /// left is used. The share is empty afterwards in either case.
     pub fn take(&mut self, units: f64, draw: f64, now: Time) -> bool {
         self.fill(now);
-        if now.since(self.asked) >= LIFE || self.left <= 0.0 {
+        if now.since(self.requested_at) >= LIFE || self.left <= 0.0 {
             return false;
         }
         let has_enough = self.left >= units;
-        let may = has_enough || draw * units < self.left;
+        let is_allowed = has_enough || draw * units < self.left;
         self.left = if has_enough { self.left - units } else { 0.0 };
-        may
+        is_allowed
     }
 
-    /// Takes in that the account has given `units`: they are a part of this share's too.
+    /// Deducts `units` that the account has granted: they use up this share too.
     pub fn granted(&mut self, units: f64, now: Time) {
         self.fill(now);
-        self.left = (self.left - units).max(-self.most());
+        self.left = (self.left - units).max(-self.capacity());
     }
 
-    fn most(&self) -> f64 {
-        self.rate * SAVED.as_secs_f64()
+    fn capacity(&self) -> f64 {
+        self.rate * MAX_SAVED.as_secs_f64()
     }
 
     fn fill(&mut self, now: Time) {
-        let span = now.since(self.at).as_secs_f64();
-        self.left = (self.left + self.rate * span).min(self.most());
+        let elapsed = now.since(self.at).as_secs_f64();
+        self.left = (self.left + self.rate * elapsed).min(self.capacity());
         self.at = self.at.max(now);
     }
 }
--- a/crates/tansyknot-fleet/src/access/team.rs
+++ b/crates/tansyknot-fleet/src/access/team.rs
@@ -1,4 +1,4 @@
-//! Teams, their keys and their quotas, as the operators wrote them.
+//! Teams, their keys and their quotas, as the operators configure them.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -8,31 +8,31 @@
 };
 use thiserror::Error;
 
-/// What a quota counts.
+/// The unit that a quota counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unit {
-    /// Each request is one.
+    /// Each request counts as one.
     #[default]
     Requests,
-    /// A request is the tokens that it says it takes.
+    /// A request counts as the number of tokens that it states.
     Tokens,
 }
 
-/// What a team may use, over all daemons.
+/// A limit on a team's use, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: Unit,
     /// Units a second.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// The units that may be used at once.
     pub burst: f64,
-    /// The units of a request that does not say how many tokens it takes.
+    /// The units of a request that states no number of tokens.
     pub plain: f64,
 }
 
 impl Quota {
-    /// Returns the units of a request that says it takes `tokens`.
+    /// Returns the units of a request that states `tokens`.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match (self.unit, tokens) {
             (Unit::Requests, _) => 1.0,
@@ -47,9 +47,9 @@
 pub struct Team {
     /// Its name.
     pub name: TeamName,
-    /// The rank of its requests, in place of their route's.
+    /// The priority of its requests, which replaces their route's.
     pub priority: Option<u8>,
-    /// What it may use; `None` for no limit.
+    /// Its quota; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
@@ -62,20 +62,20 @@
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why teams can't be put in force.
+/// Why a set of teams is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TeamsError {
-    /// Two teams have one name.
+    /// Two teams have the same name.
     #[error("team {0} is there twice")]
     NameTwice(TeamName),
-    /// Two teams, or one twice, have the same key.
+    /// Two teams have the same key, or one team has a key twice.
     #[error("a key of team {0} is also a key of team {1}")]
     KeyTwice(TeamName, TeamName),
     /// A key is empty.
     #[error("team {0} has an empty key")]
     EmptyKey(TeamName),
-    /// A number of a quota is negative or none.
-    #[error("the quota of team {0} has a number that is negative or none")]
+    /// A number of a quota is negative or not finite.
+    #[error("the quota of team {0} has a number that is negative or not finite")]
     BadQuota(TeamName),
 }
 
@@ -87,11 +87,11 @@
 }
 
 impl Teams {
-    /// Makes the teams of a version.
+    /// Creates the teams of a version.
     ///
     /// # Errors
     ///
-    /// Fails if a name or key is there twice, a key is empty, or a quota is malformed.
+    /// Fails if a name or key occurs twice, a key is empty, or a quota is malformed.
     pub fn new(entries: Vec<TeamEntry>) -> Result<Self, TeamsError> {
         let mut all = Self::default();
         let empty = KeyDigest::of("");
@@ -117,7 +117,7 @@
         Ok(all)
     }
 
-    /// Returns the team that holds a key.
+    /// Returns the team that has a key.
     pub fn holder(&self, key: &str) -> Option<&Arc<Team>> {
         self.ring.find(key)
     }
@@ -127,7 +127,7 @@
         self.by_name.values()
     }
 
-    /// Returns the quota of a team, if it is there and has one.
+    /// Returns the quota of a team, if the team exists and has one.
     pub fn quota(&self, team: &TeamName) -> Option<Quota> {
         self.by_name.get(team)?.quota
     }
