--- a/crates/tansyknot-fleet/src/backpressure.rs
+++ b/crates/tansyknot-fleet/src/backpressure.rs
@@ -1,8 +1,8 @@
-//! Backpressure signals of targets: rate limits, connection draining and retry delays, as their answers
-//! carry them.
+//! Backpressure signals of targets: rate limits, connection draining and retry delays, as their
+//! responses carry them.
 //!
-//! Decided without threads or sockets. `serve` records and obeys them, `conduct` shares them between
-//! daemons.
+//! Has no threads or sockets. `serve` records and obeys the signals, and `conduct` shares them
+//! between daemons.
 
 pub mod message;
 pub mod pending;
@@ -17,20 +17,21 @@
 
 use crate::poison::key::RunKey;
 
-/// The least limit that is kept to, in requests a second: a target that names less is asked now and then,
-/// as only its answers can end the limit.
-const RATE_LEAST: f64 = 0.1;
-/// The longest rest that a target gets for one answer.
-const REST_MOST: Duration = Duration::from_secs(60);
+/// The lowest rate limit that is obeyed, in requests a second: a target that names a lower one
+/// still gets a request now and then, because only its responses can end the limit.
+const MIN_RATE: f64 = 0.1;
+/// The longest retry delay that one response can set.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
-/// Requests a second.
+/// A rate in requests a second.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// Makes a rate, no lower than the least that is kept to; `None` if it is negative or no number.
+    /// Creates a rate, raised to the lowest one that is obeyed; `None` if `per_s` is negative or
+    /// not finite.
     pub fn new(per_s: f64) -> Option<Self> {
-        (per_s.is_finite() && per_s >= 0.0).then(|| Self(per_s.max(RATE_LEAST)))
+        (per_s.is_finite() && per_s >= 0.0).then(|| Self(per_s.max(MIN_RATE)))
     }
 
     /// Returns the requests a second.
@@ -45,7 +46,7 @@
     }
 }
 
-/// One field of an answer.
+/// One signal field of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Said<T> {
     /// The field is absent.
@@ -53,7 +54,7 @@
     Nothing,
     /// The field has this value.
     Value(T),
-    /// The field can't be read and counts for nothing.
+    /// The field can't be parsed and is ignored.
     Malformed,
 }
 
@@ -62,7 +63,7 @@
 pub enum Signal {
     /// A rate limit over all daemons.
     Limit,
-    /// The target drains.
+    /// The target is draining.
     Leaving,
     /// A retry delay for this daemon.
     Rest,
@@ -79,19 +80,19 @@
     }
 }
 
-/// The signals in the head of an answer.
+/// The signals in the head of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// The requests a second that it takes from all daemons together.
+    /// The requests a second that the target accepts from all daemons together.
     pub limit: Said<Rate>,
-    /// The target drains.
+    /// The target is draining.
     pub leaving: Said<()>,
-    /// How long this daemon is to send nothing.
+    /// How long this daemon is to send no requests to the target.
     pub rest: Said<Duration>,
 }
 
 impl Signals {
-    /// Returns the fields that can't be read.
+    /// Returns the signals whose fields can't be parsed.
     pub fn malformed(&self) -> impl Iterator<Item = Signal> {
         let limit = matches!(self.limit, Said::Malformed).then_some(Signal::Limit);
         let leaving = matches!(self.leaving, Said::Malformed).then_some(Signal::Leaving);
@@ -100,53 +101,56 @@
     }
 }
 
-/// Whether a target ran the request that it answered.
+/// Whether a target ran the request that it responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It ran it.
+    /// The target ran the request.
     Ran,
-    /// It did not.
+    /// The target did not run the request.
     NotRun,
 }
 
-/// A request that asks whether it may go to a target that names a limit.
+/// A request for a permit to send one request to a target that names a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest {
-    /// Names it in [`PendingPermits`](pending::PendingPermits), where the answer comes.
+    /// Identifies the request in [`PendingPermits`](pending::PendingPermits), which receives the
+    /// reply.
     pub number: u32,
     /// The run of the target.
     pub run: RunKey,
-    /// Its rank; 0 goes first.
+    /// The priority of the request; 0 goes first.
     pub priority: u8,
-    /// How much longer it can wait.
+    /// How much longer the request can wait.
     pub left: Duration,
 }
 
-/// Asks whether requests may go to targets that name limits, over all daemons.
+/// Obtains permits for targets that name limits, over all daemons.
 pub trait Permits: Send + Sync {
-    /// Asks for a request, again or for the first time.
+    /// Sends a permit request, for the first time or again.
     fn ask(&self, request: PermitRequest);
 
-    /// Says that a request that has asked does not wait any more.
+    /// Cancels a permit request, because its request no longer waits.
     fn end(&self, number: u32, run: RunKey);
 }
 
-/// When a request was sent and the head of its answer came: the target wrote it in between.
+/// When a request was sent and the head of its response was received: the target wrote the head in
+/// between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interval {
     /// Before the first byte of the request was sent.
     pub sent: Time,
-    /// After the head of the answer had come.
+    /// After the head of the response was received.
     pub received: Time,
 }
 
-/// One answer, wherever it is known. What other daemons tell of it seems later than it was by what that
-/// takes on its way, so that it is told from a later answer by its name.
+/// One response, identified across daemons. At a daemon that another one has sent it to, its times
+/// appear later than they were, by the time in transit, so `id` tells it apart from later
+/// responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Names it.
+    /// Identifies the response.
     pub id: u64,
-    /// When the target wrote it, by this daemon's clock.
+    /// The interval in which the target wrote the response, by this daemon's clock.
     pub at: Interval,
 }
 
--- a/crates/tansyknot-fleet/src/backpressure/message.rs
+++ b/crates/tansyknot-fleet/src/backpressure/message.rs
@@ -8,19 +8,19 @@
 use super::{Answer, Interval};
 use crate::{access::message::Stamp, poison::key::RunKey};
 
-/// An answer, by how long ago its request was sent and its head came.
+/// A response, by the age of its request and of its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ages {
-    /// Names the answer.
+    /// Identifies the response.
     pub id: u64,
-    /// Since the request was sent, in milliseconds, rounded up.
+    /// The time since the request was sent, in milliseconds, rounded up.
     pub sent_ms: u32,
-    /// Since the head of the answer came, in milliseconds, rounded down.
+    /// The time since the head of the response was received, in milliseconds, rounded down.
     pub received_ms: u32,
 }
 
 impl Ages {
-    /// Returns how old an answer is `now`.
+    /// Returns the ages of a response at `now`.
     pub fn of(answer: Answer, now: Time) -> Self {
         let Answer { id, at } = answer;
         let sent_ms = now.since(at.sent).as_micros().div_ceil(1000);
@@ -29,7 +29,7 @@
         Self { id, sent_ms: millis(sent_ms), received_ms: millis(received_ms) }
     }
 
-    /// Returns the answer that has this age `now`.
+    /// Returns the response that has these ages at `now`.
     pub fn answer(self, now: Time) -> Answer {
         let before = |ms: u32| now.before(Duration::from_millis(ms.into()));
         let at = Interval { sent: before(self.sent_ms), received: before(self.received_ms) };
@@ -40,16 +40,16 @@
 /// The rate limit of one run of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LimitSummary {
-    /// None is known.
+    /// No limit is known.
     Unknown,
-    /// It is in force.
+    /// A limit is in force.
     Named {
         /// The requests a second.
         per_s: f64,
-        /// The newest answer that names it.
+        /// The newest response that names the limit.
         at: Ages,
     },
-    /// It has ended, by this answer.
+    /// This response ended the limit.
     Ended(Ages),
 }
 
@@ -60,54 +60,54 @@
     pub run: RunKey,
     /// Its rate limit.
     pub limit: LimitSummary,
-    /// Whether it drains.
+    /// Whether the run is draining.
     pub is_leaving: bool,
 }
 
-/// A request asks whether it may go to a target that names a limit. It asks again until it is answered
-/// or goes elsewhere.
+/// Asks for a permit to send a request to a target that names a limit. It is sent again until it is
+/// answered or the request goes to another target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// Names the request at its daemon.
+    /// Identifies the request at its daemon.
     pub number: u32,
-    /// When it asked.
+    /// When this message was sent.
     pub stamp: Stamp,
-    /// The target, and what it has told this daemon.
+    /// The run of the target, and the signals that this daemon has of it.
     pub summary: RunSummary,
-    /// The rank of the request; 0 goes first.
+    /// The priority of the request; 0 goes first.
     pub priority: u8,
-    /// How much longer it can wait, in milliseconds.
+    /// How much longer the request can wait, in milliseconds.
     pub left_ms: u32,
 }
 
-/// Whether a request may go to a target that names a limit.
+/// Whether a request gets a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitVerdict {
-    /// It may, now.
+    /// The request may be sent now.
     Granted,
-    /// Others go first.
+    /// Other requests go first.
     Queued {
-        /// When it may if nobody else comes, in milliseconds from now.
+        /// The time until its permit if no other requests arrive, in milliseconds from now.
         wait_ms: u32,
     },
 }
 
-/// The answer to [`PermitAsk`].
+/// The reply to [`PermitAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// Names the request.
+    /// Identifies the request.
     pub number: u32,
-    /// The stamp of the question that is answered.
+    /// The stamp of the [`PermitAsk`].
     pub stamp: Stamp,
-    /// The answer.
+    /// The verdict.
     pub verdict: PermitVerdict,
 }
 
-/// A request that has asked needs no answer any more.
+/// Cancels a [`PermitAsk`], whose request needs no permit any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitEnd {
-    /// Names the request.
+    /// Identifies the request.
     pub number: u32,
-    /// The run of the target that it asked about.
+    /// The run of the target that the permit was for.
     pub run: RunKey,
 }
--- a/crates/tansyknot-fleet/src/backpressure/pending.rs
+++ b/crates/tansyknot-fleet/src/backpressure/pending.rs
@@ -1,4 +1,4 @@
-//! This daemon's requests that ask whether they may go to targets that name limits.
+//! This daemon's requests that wait for permits to go to targets that name limits.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,10 +7,10 @@
 use super::message::{PermitAnswer, PermitVerdict};
 use crate::{access::message::Stamp, poison::key::RunKey};
 
-/// How often a request asks: questions and answers may be lost.
-const ASK_EVERY: Duration = Duration::from_millis(150);
-/// A grant counts for so long after the question that it answers.
-const PERMIT_LIFE: Duration = Duration::from_millis(600);
+/// How often a permit request is sent until it is answered: requests and replies may be lost.
+const PERMIT_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+/// How long a permit is valid, counted from when its request was sent.
+const PERMIT_LIFETIME: Duration = Duration::from_millis(600);
 
 /// The right to send one request to one run of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,97 +20,98 @@
 }
 
 impl Permit {
-    /// Tells whether a request may be sent to `run` by it now.
+    /// Returns whether the permit allows sending a request to `run` now.
     pub fn allows(&self, run: RunKey, now: Time) -> bool {
         self.run == run && now < self.until
     }
 }
 
-/// One request that asks.
+/// One request that waits for a permit.
 #[derive(Clone, Copy, Debug)]
-struct Asking {
+struct PendingRequest {
     run: RunKey,
-    asked: Option<Time>,
+    sent_at: Option<Time>,
     permit: Option<Permit>,
-    /// When it should be granted, as it was told last.
+    /// When the permit is expected, by the latest reply.
     expected: Option<Time>,
 }
 
-/// How it stands with a request that asks.
+/// The state of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It may be sent.
+    /// The permit is granted.
     Granted(Permit),
-    /// It has to ask, again or for the first time.
+    /// The permit request has to be sent, for the first time or again.
     AskDue,
-    /// It waits for its answer.
+    /// The permit request waits for its reply.
     Waiting {
-        /// When it should be granted, if that was told.
+        /// When the permit is expected, if a reply has told it.
         expected: Option<Time>,
     },
 }
 
-/// This daemon's requests that ask.
+/// This daemon's requests that wait for permits.
 #[derive(Debug, Default)]
 pub struct PendingPermits {
-    asking: HashMap<u32, Asking>,
+    requests: HashMap<u32, PendingRequest>,
     number: u32,
-    /// Drawn by each run of a daemon.
-    of_run: u64,
+    /// A random number that identifies this run of the daemon.
+    daemon_run: u64,
 }
 
 impl PendingPermits {
-    /// Makes what a run of a daemon has asked that has not asked anything yet. Its questions have
-    /// numbers that no earlier run had lately.
-    pub fn of_run(of_run: u64) -> Self {
-        Self { of_run, number: of_run as u32, ..Self::default() }
+    /// Creates the state of a daemon's run that has asked for nothing yet. Its requests have
+    /// numbers that no earlier run used recently.
+    pub fn of_run(daemon_run: u64) -> Self {
+        Self { daemon_run, number: daemon_run as u32, ..Self::default() }
     }
 
-    /// Begins to ask for a request; returns its number.
+    /// Registers a request for a permit; returns its number.
     pub fn begin(&mut self, run: RunKey) -> u32 {
         self.number = self.number.wrapping_add(1);
-        let asking = Asking { run, asked: None, permit: None, expected: None };
-        self.asking.insert(self.number, asking);
+        let request = PendingRequest { run, sent_at: None, permit: None, expected: None };
+        self.requests.insert(self.number, request);
         self.number
     }
 
-    /// Returns how it stands with a request.
+    /// Returns the state of a permit request.
     pub fn progress(&self, number: u32, now: Time) -> Progress {
-        let Some(asking) = self.asking.get(&number) else { return Progress::AskDue };
-        match (asking.permit, asking.asked) {
+        let Some(request) = self.requests.get(&number) else { return Progress::AskDue };
+        match (request.permit, request.sent_at) {
             (Some(permit), _) if now < permit.until => Progress::Granted(permit),
-            (_, Some(at)) if now.since(at) < ASK_EVERY => {
-                Progress::Waiting { expected: asking.expected }
+            (_, Some(at)) if now.since(at) < PERMIT_REQUEST_INTERVAL => {
+                Progress::Waiting { expected: request.expected }
             }
             _ => Progress::AskDue,
         }
     }
 
-    /// Takes in that a request asks now; returns the stamp of its question.
+    /// Records that a permit request is sent now; returns the stamp of its message.
     pub fn asked(&mut self, number: u32, now: Time) -> Stamp {
-        if let Some(asking) = self.asking.get_mut(&number) {
-            asking.asked = Some(now);
+        if let Some(request) = self.requests.get_mut(&number) {
+            request.sent_at = Some(now);
         }
-        Stamp { run: self.of_run, us: now.as_micros() }
+        Stamp { run: self.daemon_run, us: now.as_micros() }
     }
 
-    /// Takes in an answer; tells whether a request waits for it.
+    /// Applies a reply; returns whether a request waits for it.
     pub fn answered(&mut self, answer: &PermitAnswer, now: Time) -> bool {
-        let Some(asked) = answer.stamp.asked_at(self.of_run, now) else { return false };
-        let Some(asking) = self.asking.get_mut(&answer.number) else { return false };
+        let Some(sent_at) = answer.stamp.asked_at(self.daemon_run, now) else { return false };
+        let Some(request) = self.requests.get_mut(&answer.number) else { return false };
         match answer.verdict {
             PermitVerdict::Granted => {
-                asking.permit = Some(Permit { run: asking.run, until: asked + PERMIT_LIFE });
+                request.permit =
+                    Some(Permit { run: request.run, until: sent_at + PERMIT_LIFETIME });
             }
             PermitVerdict::Queued { wait_ms } => {
-                asking.expected = Some(now + Duration::from_millis(wait_ms.into()));
+                request.expected = Some(now + Duration::from_millis(wait_ms.into()));
             }
         }
         true
     }
 
-    /// Ends what a request asks; tells whether it had been granted nothing.
+    /// Removes a permit request; returns whether it had not been granted.
     pub fn end(&mut self, number: u32) -> bool {
-        self.asking.remove(&number).is_some_and(|asking| asking.permit.is_none())
+        self.requests.remove(&number).is_some_and(|request| request.permit.is_none())
     }
 }
--- a/crates/tansyknot-fleet/src/backpressure/registry.rs
+++ b/crates/tansyknot-fleet/src/backpressure/registry.rs
@@ -1,5 +1,5 @@
-//! The backpressure state of all targets, by run: an entry of the list that is written again, lapses or
-//! comes back does not change it.
+//! The backpressure state of all targets, by run. An entry of the list that is rewritten, expires
+//! or returns does not change the state.
 
 use std::{
     cmp::Reverse,
@@ -16,44 +16,47 @@
 };
 use crate::poison::key::RunKey;
 
-/// Runs whose state is kept: more than a fleet has targets. Beyond that the one goes first that was
-/// heard longest ago, as targets that leave end soon, and one that is there speaks with its next answer.
-const RUNS_MOST: usize = 8192;
-/// What an answer to this daemon has changed is told to the planner for so long, as datagrams get lost.
-const TOLD_FOR: Duration = Duration::from_secs(3);
-/// While there is no planner others are told directly, so often.
-const TELLINGS: u32 = 3;
-/// Summaries in one message at most, those that changed last.
-const TOLD_MOST: usize = 64;
-
-/// A run's state, and when it changed.
+/// The maximum number of runs with recorded state, more than a fleet has targets. Beyond it, the
+/// run that was last seen longest ago is removed: draining targets end soon, and a live target
+/// signals again with its next response.
+const MAX_RUNS: usize = 8192;
+/// How long a change by a response to this daemon is sent to the planner, because datagrams get
+/// lost.
+const CHANGE_SEND_DURATION: Duration = Duration::from_secs(3);
+/// How many times a change is sent to the other daemons directly while there is no planner.
+const DIRECT_SENDS: u32 = 3;
+/// The maximum number of summaries in one message; those that changed last are sent.
+const MAX_SUMMARIES: usize = 64;
+
+/// The state of a run, and when it changed.
 #[derive(Clone, Debug, Default)]
-struct Kept {
+struct RunRecord {
     state: RunState,
-    heard: Time,
-    /// When it changed last.
+    last_seen: Time,
+    /// When the state last changed.
     changed: Time,
-    /// When an answer to this daemon changed it last.
+    /// When a response to this daemon last changed the state.
     changed_here: Option<Time>,
 }
 
-impl Kept {
-    /// Tells whether an answer to this daemon has changed it lately.
-    fn is_new(&self, now: Time) -> bool {
-        self.changed_here.is_some_and(|at| now.since(at) < TOLD_FOR)
+impl RunRecord {
+    /// Returns whether a response to this daemon has changed the state recently.
+    fn is_recent(&self, now: Time) -> bool {
+        self.changed_here.is_some_and(|at| now.since(at) < CHANGE_SEND_DURATION)
     }
 }
 
 /// The backpressure state of all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    by_run: HashMap<RunKey, Kept>,
-    /// Runs whose state answers to this daemon have changed, and how often others are to be told yet.
-    untold: BTreeMap<RunKey, u32>,
+    by_run: HashMap<RunKey, RunRecord>,
+    /// Runs whose state was changed by responses to this daemon, and how many more times the change
+    /// is to be sent to others.
+    unsent: BTreeMap<RunKey, u32>,
 }
 
 impl Registry {
-    /// Takes in the signals of an answer; returns what they change.
+    /// Applies the signals of a response; returns what they change.
     pub fn hear(
         &mut self,
         run: RunKey,
@@ -64,124 +67,128 @@
         if *signals == Signals::default() && !self.by_run.contains_key(&run) {
             return Vec::new();
         }
-        let kept = self.kept(run, at.received);
-        let changes = kept.state.hear(signals, outcome, at);
+        let record = self.record(run, at.received);
+        let changes = record.state.hear(signals, outcome, at);
         if !changes.is_empty() {
-            kept.changed = at.received;
-            kept.changed_here = Some(at.received);
-            self.untold.insert(run, TELLINGS);
+            record.changed = at.received;
+            record.changed_here = Some(at.received);
+            self.unsent.insert(run, DIRECT_SENDS);
         }
-        self.forget();
+        self.evict_oldest();
         changes
     }
 
-    /// Takes in what another daemon knows; tells whether it changes anything.
+    /// Merges the state that another daemon has sent; returns whether it changes anything.
     pub fn merge(&mut self, summary: &RunSummary, now: Time) -> bool {
         if summary.limit == LimitSummary::Unknown && !summary.is_leaving {
             return false;
         }
-        let kept = self.kept(summary.run, now);
-        let is_changed = kept.state.merge(summary, now);
+        let record = self.record(summary.run, now);
+        let is_changed = record.state.merge(summary, now);
         if is_changed {
-            kept.changed = now;
+            record.changed = now;
         }
-        self.forget();
+        self.evict_oldest();
         is_changed
     }
 
-    /// Returns what answers to this daemon have changed lately.
+    /// Returns what responses to this daemon have changed recently.
     pub fn changed_here(&self, now: Time) -> Vec<RunSummary> {
-        newest(self.by_run.iter().filter(|(_, kept)| kept.is_new(now)), now)
+        newest_summaries(self.by_run.iter().filter(|(_, record)| record.is_recent(now)), now)
     }
 
-    /// Forgets what a planner has had the time to tell.
+    /// Drops the changes that a planner has had time to send.
     pub fn planner_tells(&mut self, now: Time) {
         let by_run = &self.by_run;
-        self.untold.retain(|run, _| by_run.get(run).is_some_and(|kept| kept.is_new(now)));
+        self.unsent.retain(|run, _| by_run.get(run).is_some_and(|record| record.is_recent(now)));
     }
 
-    /// Returns what answers to this daemon have changed and no planner may have told, and takes it for
-    /// told once.
+    /// Returns what responses to this daemon have changed and no planner may have sent, and counts
+    /// it as sent once.
     pub fn take_untold(&mut self, now: Time) -> Vec<RunSummary> {
         self.planner_tells(now);
-        let untold = self.told_of(self.untold.keys().copied(), now);
-        self.untold.values_mut().for_each(|left| *left -= 1);
-        self.untold.retain(|_, left| *left > 0);
-        untold
+        let unsent = self.told_of(self.unsent.keys().copied(), now);
+        self.unsent.values_mut().for_each(|left| *left -= 1);
+        self.unsent.retain(|_, left| *left > 0);
+        unsent
     }
 
-    /// Returns what is known of these runs.
+    /// Returns the signals of these runs.
     pub fn told_of(&self, runs: impl Iterator<Item = RunKey>, now: Time) -> Vec<RunSummary> {
         let known = runs.filter_map(|run| self.by_run.get_key_value(&run));
-        newest(known, now)
+        newest_summaries(known, now)
     }
 
-    /// Returns what is known of a run.
+    /// Returns the signals of a run.
     pub fn told(&self, run: RunKey, now: Time) -> Option<RunSummary> {
-        self.by_run.get(&run).map(|kept| kept.state.told(run, now))
+        self.by_run.get(&run).map(|record| record.state.told(run, now))
     }
 
-    /// Returns how much a run takes, if it names a limit.
+    /// Returns the rate limit of a run, if it names one.
     pub fn limit(&self, run: RunKey) -> Option<Rate> {
         self.by_run.get(&run)?.state.limit().map(|limit| limit.rate)
     }
 
-    /// Tells whether a run drains.
+    /// Returns whether a run is draining.
     pub fn is_leaving(&self, run: RunKey) -> bool {
-        self.by_run.get(&run).is_some_and(|kept| kept.state.is_leaving())
+        self.by_run.get(&run).is_some_and(|record| record.state.is_leaving())
     }
 
     /// Moves the state of a run to another key of the same run.
     pub fn rename(&mut self, run: RunKey, to: RunKey) {
-        if let Some(kept) = self.by_run.remove(&run) {
-            self.by_run.insert(to, kept);
+        if let Some(record) = self.by_run.remove(&run) {
+            self.by_run.insert(to, record);
         }
     }
 
-    /// Takes in that a request has chosen a run.
+    /// Records that a request has chosen a run.
     pub fn sends(&mut self, run: RunKey, now: Time) {
-        if let Some(kept) = self.by_run.get_mut(&run) {
-            kept.state.sends(now);
+        if let Some(record) = self.by_run.get_mut(&run) {
+            record.state.sends(now);
         }
     }
 
-    /// Tells whether the signals of a run allow another request to choose it.
+    /// Returns whether the signals of a run allow another request to choose it.
     pub fn availability(&self, run: RunKey, now: Time) -> Availability {
-        self.by_run.get(&run).map_or(Availability::Open, |kept| kept.state.availability(now))
+        self.by_run.get(&run).map_or(Availability::Open, |record| record.state.availability(now))
     }
 
-    /// Tells whether the signals of a run still allow a request that has chosen it.
+    /// Returns whether the signals of a run still allow a request that has chosen it.
     pub fn availability_at_send(&self, run: RunKey, now: Time) -> Availability {
         self.by_run
             .get(&run)
-            .map_or(Availability::Open, |kept| kept.state.availability_at_send(now))
+            .map_or(Availability::Open, |record| record.state.availability_at_send(now))
     }
 
-    /// Tells whether no run has sent a signal.
+    /// Returns whether no run has sent a signal.
     pub fn is_empty(&self) -> bool {
         self.by_run.is_empty()
     }
 
-    fn kept(&mut self, run: RunKey, now: Time) -> &mut Kept {
-        let kept = self.by_run.entry(run).or_default();
-        kept.heard = kept.heard.max(now);
-        kept
+    fn record(&mut self, run: RunKey, now: Time) -> &mut RunRecord {
+        let record = self.by_run.entry(run).or_default();
+        record.last_seen = record.last_seen.max(now);
+        record
     }
 
-    fn forget(&mut self) {
-        while self.by_run.len() > RUNS_MOST {
-            let oldest = self.by_run.iter().min_by_key(|(_, kept)| kept.heard).map(|(run, _)| *run);
+    fn evict_oldest(&mut self) {
+        while self.by_run.len() > MAX_RUNS {
+            let oldest =
+                self.by_run.iter().min_by_key(|(_, record)| record.last_seen).map(|(run, _)| *run);
             let Some(oldest) = oldest else { return };
             self.by_run.remove(&oldest);
         }
     }
 }
 
-/// Returns what others are told of these runs, those first that changed last.
-fn newest<'a>(kept: impl Iterator<Item = (&'a RunKey, &'a Kept)>, now: Time) -> Vec<RunSummary> {
-    let mut kept: Vec<(&RunKey, &Kept)> = kept.collect();
-    kept.sort_by_key(|(run, kept)| (Reverse(kept.changed), **run));
-    kept.truncate(TOLD_MOST);
-    let summaries = kept.into_iter().map(|(run, kept)| kept.state.told(*run, now));
+/// Returns the summaries of these runs for other daemons, the most recently changed ones first.
+fn newest_summaries<'a>(
+    records: impl Iterator<Item = (&'a RunKey, &'a RunRecord)>,
+    now: Time,
+) -> Vec<RunSummary> {
+    let mut records: Vec<(&RunKey, &RunRecord)> = records.collect();
+    records.sort_by_key(|(run, record)| (Reverse(record.changed), **run));
+    records.truncate(MAX_SUMMARIES);
+    let summaries = records.into_iter().map(|(run, record)| record.state.told(*run, now));
     summaries.filter(|s| s.limit != LimitSummary::Unknown || s.is_leaving).collect()
 }
--- a/crates/tansyknot-fleet/src/backpressure/run_state.rs
+++ b/crates/tansyknot-fleet/src/backpressure/run_state.rs
@@ -1,67 +1,70 @@
-//! The backpressure state of one run of a target, whose answers may overtake each other.
+//! The backpressure state of one run of a target, whose responses may be received out of order.
 
 use std::time::Duration;
 
 use tansyknot_core::clock::Time;
 
 use super::{
-    Answer, Interval, Outcome, REST_MOST, Rate, Said, Signal, Signals,
+    Answer, Interval, MAX_RETRY_DELAY, Outcome, Rate, Said, Signal, Signals,
     message::{Ages, LimitSummary, RunSummary},
 };
 use crate::poison::key::RunKey;
 
-/// A target whose rest is over gets one request each so long, until it has answered one.
-const PROBE_EVERY: Duration = Duration::from_millis(500);
-/// An answer that another daemon has shared seems younger than it is by its time on the way.
-const TRANSIT: Duration = Duration::from_millis(100);
-/// The end of a limit is told for so long. Who has missed it is told by the next answer.
-const ENDED_TOLD: Duration = Duration::from_secs(10);
+/// After a retry delay, a target gets one request per this interval until it has responded to one.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// The time in transit by which a response that another daemon has shared may appear younger than
+/// it is.
+const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(100);
+/// How long the end of a limit is sent to other daemons. A daemon that missed it learns of it from
+/// the next response.
+const ENDED_SEND_DURATION: Duration = Duration::from_secs(10);
 
-/// A limit, and the newest answer that names it.
+/// A limit, and the newest response that names it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// How much the target takes.
+    /// The rate that the target accepts.
     pub rate: Rate,
-    /// The answer that named it last.
+    /// The newest response that named the limit.
     pub named: Answer,
 }
 
-/// A rest that a target has asked for, until the target has answered a request that was sent after it.
+/// A retry delay that a target has requested. It is dropped once the target responds to a request
+/// that was sent after the delay.
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct RetryDelay {
     until: Time,
-    /// When a request was sent after it.
+    /// When a request was last sent after the delay.
     probed: Option<Time>,
 }
 
-/// What has changed by an answer.
+/// A change of a run's state by a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// The target takes this much.
+    /// The target limits its rate to this.
     Limited(Rate),
-    /// It takes as much as any other again.
+    /// The target has no rate limit any more.
     Unlimited,
-    /// It leaves.
+    /// The target is draining.
     Leaves,
-    /// It wants nothing for so long.
+    /// The target accepts no requests for this long.
     Rests(Duration),
 }
 
 /// Whether the signals of a target allow a request of this daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Availability {
-    /// They do.
+    /// They allow it.
     Open,
-    /// They do if the request has a permit; so many go a second.
+    /// They allow it if the request has a permit; the target accepts this rate.
     Limited(Rate),
-    /// They do from then on.
+    /// They allow it from this time on.
     Resting(Time),
-    /// They never do again.
+    /// They never allow it again.
     Leaving,
 }
 
 impl Availability {
-    /// Returns the signal by which a target takes less than others.
+    /// Returns the signal that restricts requests to the target.
     pub fn signal(self) -> Option<Signal> {
         match self {
             Availability::Open => None,
@@ -76,52 +79,56 @@
 #[derive(Clone, Debug, Default)]
 pub struct RunState {
     limit: Option<Limit>,
-    /// The answer that ended the last limit.
+    /// The response that ended the last limit.
     ended: Option<Answer>,
     is_leaving: bool,
-    rest: Option<Rest>,
+    retry_delay: Option<RetryDelay>,
 }
 
 impl RunState {
-    /// Takes in the signals of an answer; returns what they change.
+    /// Applies the signals of a response; returns what they change.
     pub fn hear(&mut self, signals: &Signals, outcome: Outcome, at: Interval) -> Vec<Change> {
         let mut changes = Vec::new();
         changes.extend(match (signals.limit, outcome) {
-            (Said::Value(rate), _) => self.limit_named(rate, at.into()),
-            (Said::Nothing, Outcome::Ran) => self.limit_ended(at.into()),
+            (Said::Value(rate), _) => self.apply_limit(rate, at.into()),
+            (Said::Nothing, Outcome::Ran) => self.apply_no_limit(at.into()),
             (Said::Nothing, Outcome::NotRun) | (Said::Malformed, _) => None,
         });
-        changes.extend(matches!(signals.leaving, Said::Value(())).then(|| self.leave()).flatten());
+        changes.extend(
+            matches!(signals.leaving, Said::Value(())).then(|| self.set_leaving()).flatten(),
+        );
         match signals.rest {
-            Said::Value(span) => changes.extend(self.rest_for(span, at.received)),
-            Said::Nothing | Said::Malformed => self.answered(at),
+            Said::Value(duration) => changes.extend(self.set_retry_delay(duration, at.received)),
+            Said::Nothing | Said::Malformed => self.end_probing(at),
         }
         changes
     }
 
-    /// Takes in a limit, unless it is surely older than what is known. A higher one counts only if it is
-    /// surely newer.
-    fn limit_named(&mut self, rate: Rate, answer: Answer) -> Option<Change> {
-        let known = self.limit;
-        let newest = known.map(|known| known.named).or(self.ended);
-        let is_known = newest.is_some_and(|newest| newest.id == answer.id);
-        if is_known || newest.is_some_and(|newest| answer.at.received < newest.at.sent) {
+    /// Applies a limit, unless its response is certainly older than the newest one known. A higher
+    /// limit counts only if its response is certainly newer.
+    fn apply_limit(&mut self, rate: Rate, answer: Answer) -> Option<Change> {
+        let current = self.limit;
+        let newest = current.map(|current| current.named).or(self.ended);
+        let is_repeated = newest.is_some_and(|newest| newest.id == answer.id);
+        if is_repeated || newest.is_some_and(|newest| answer.at.received < newest.at.sent) {
             return None;
         }
-        let is_newer = |known: Limit| answer.at.sent > known.named.at.received;
-        if known.is_some_and(|known| rate > known.rate && !is_newer(known)) {
+        let is_newer = |current: Limit| answer.at.sent > current.named.at.received;
+        if current.is_some_and(|current| rate > current.rate && !is_newer(current)) {
             return None;
         }
-        let is_later = |known: Limit| answer.at.received > known.named.at.received;
-        let named = known.filter(|known| !is_later(*known)).map_or(answer, |known| known.named);
+        let is_later = |current: Limit| answer.at.received > current.named.at.received;
+        let named =
+            current.filter(|current| !is_later(*current)).map_or(answer, |current| current.named);
         self.limit = Some(Limit { rate, named });
-        let is_news = known.is_none_or(|known| known.rate != rate);
-        is_news.then_some(Change::Limited(rate))
+        let is_changed = current.is_none_or(|current| current.rate != rate);
+        is_changed.then_some(Change::Limited(rate))
     }
 
-    /// Takes in an answer without a limit. It ends one only if its request was sent after the last
-    /// answer with the limit had come: any other may have been written before that.
-    fn limit_ended(&mut self, answer: Answer) -> Option<Change> {
+    /// Applies a response without a limit. It ends a limit only if its request was sent after the
+    /// newest response with the limit was received: any other response may have been written before
+    /// that one.
+    fn apply_no_limit(&mut self, answer: Answer) -> Option<Change> {
         let ended = self.limit.take_if(|limit| answer.at.sent > limit.named.at.received);
         let is_newer = |ended: Answer| ended.id != answer.id && answer.at.sent > ended.at.sent;
         if ended.is_some() || self.ended().is_some_and(is_newer) {
@@ -130,83 +137,88 @@
         ended.map(|_| Change::Unlimited)
     }
 
-    /// Takes in what another daemon has heard; tells whether it changes anything.
+    /// Merges the signals that another daemon has sent; returns whether they change anything.
     pub fn merge(&mut self, summary: &RunSummary, now: Time) -> bool {
         let limit = match summary.limit {
             LimitSummary::Unknown => None,
             LimitSummary::Named { per_s, at } => {
-                Rate::new(per_s).and_then(|rate| self.limit_named(rate, at.answer(now)))
+                Rate::new(per_s).and_then(|rate| self.apply_limit(rate, at.answer(now)))
             }
             LimitSummary::Ended(at) => {
                 let Answer { id, at: Interval { sent, received } } = at.answer(now);
-                self.limit_ended(Answer {
+                self.apply_no_limit(Answer {
                     id,
-                    at: Interval { sent: sent.before(TRANSIT), received },
+                    at: Interval { sent: sent.before(TRANSIT_ALLOWANCE), received },
                 })
             }
         };
-        let leaves = if summary.is_leaving { self.leave() } else { None };
-        limit.is_some() || leaves.is_some()
+        let draining = if summary.is_leaving { self.set_leaving() } else { None };
+        limit.is_some() || draining.is_some()
     }
 
-    /// Returns what other daemons are told of it.
+    /// Returns the signals for other daemons.
     pub fn told(&self, run: RunKey, now: Time) -> RunSummary {
         let named = self.limit.map(|limit| LimitSummary::Named {
             per_s: limit.rate.per_s(),
             at: Ages::of(limit.named, now),
         });
-        let is_news = |ended: &Answer| now.since(ended.at.received) < ENDED_TOLD;
-        let ended = self.ended().filter(is_news).map(|at| LimitSummary::Ended(Ages::of(at, now)));
+        let is_recent = |ended: &Answer| now.since(ended.at.received) < ENDED_SEND_DURATION;
+        let ended = self.ended().filter(is_recent).map(|at| LimitSummary::Ended(Ages::of(at, now)));
         let limit = named.or(ended).unwrap_or(LimitSummary::Unknown);
         RunSummary { run, limit, is_leaving: self.is_leaving }
     }
 
-    /// Takes in that the target leaves, which it can't take back.
-    fn leave(&mut self) -> Option<Change> {
+    /// Records that the target is draining, which is final.
+    fn set_leaving(&mut self) -> Option<Change> {
         let was_leaving = std::mem::replace(&mut self.is_leaving, true);
         (!was_leaving).then_some(Change::Leaves)
     }
 
-    /// Takes in a rest. A shorter one does not end a longer one: nothing was sent whose answer
-    /// could be newer.
-    fn rest_for(&mut self, span: Duration, now: Time) -> Option<Change> {
-        let span = span.min(REST_MOST);
-        let until = now + span;
-        if span.is_zero() || self.rest.is_some_and(|rest| until <= rest.until) {
+    /// Applies a retry delay. A shorter one does not end a longer one: nothing was sent meanwhile
+    /// whose response could be newer.
+    fn set_retry_delay(&mut self, duration: Duration, now: Time) -> Option<Change> {
+        let duration = duration.min(MAX_RETRY_DELAY);
+        let until = now + duration;
+        if duration.is_zero()
+            || self.retry_delay.is_some_and(|retry_delay| until <= retry_delay.until)
+        {
             return None;
         }
-        self.rest = Some(Rest { until, probed: None });
-        Some(Change::Rests(span))
+        self.retry_delay = Some(RetryDelay { until, probed: None });
+        Some(Change::Rests(duration))
     }
 
-    /// Takes in an answer that asks for no rest: it ends the probing after one, if it was sent then.
-    fn answered(&mut self, at: Interval) {
-        self.rest.take_if(|rest| at.sent >= rest.until);
+    /// Applies a response without a retry delay. It ends the probing after a delay if its request
+    /// was sent after the delay.
+    fn end_probing(&mut self, at: Interval) {
+        self.retry_delay.take_if(|retry_delay| at.sent >= retry_delay.until);
     }
 
-    /// Takes in that a request has chosen the target.
+    /// Records that a request has chosen the target.
     pub fn sends(&mut self, now: Time) {
-        if let Some(rest) = self.rest.as_mut().filter(|rest| now >= rest.until) {
-            rest.probed = Some(now);
+        if let Some(retry_delay) =
+            self.retry_delay.as_mut().filter(|retry_delay| now >= retry_delay.until)
+        {
+            retry_delay.probed = Some(now);
         }
     }
 
-    /// Tells whether the signals allow another request to choose the target: after a rest requests come
-    /// one by one until one is answered.
+    /// Returns whether the signals allow another request to choose the target. After a retry delay,
+    /// requests go one by one until one is answered.
     pub fn availability(&self, now: Time) -> Availability {
-        self.availability_from(now, |rest| match rest.probed {
-            Some(at) => at + PROBE_EVERY,
-            None => rest.until,
+        self.availability_from(now, |retry_delay| match retry_delay.probed {
+            Some(at) => at + PROBE_INTERVAL,
+            None => retry_delay.until,
         })
     }
 
-    /// Tells whether the signals still allow a request that has chosen the target.
+    /// Returns whether the signals still allow a request that has chosen the target.
     pub fn availability_at_send(&self, now: Time) -> Availability {
-        self.availability_from(now, |rest| rest.until)
+        self.availability_from(now, |retry_delay| retry_delay.until)
     }
 
-    fn availability_from(&self, now: Time, open_at: impl Fn(&Rest) -> Time) -> Availability {
-        match (self.is_leaving, self.rest.as_ref().map(open_at), self.limit) {
+    fn availability_from(&self, now: Time, open_at: impl Fn(&RetryDelay) -> Time) -> Availability {
+        match (self.is_leaving, self.retry_delay.as_ref().map(open_at), self.limit) {
             (true, _, _) => Availability::Leaving,
             (false, Some(open_at), _) if now < open_at => Availability::Resting(open_at),
             (false, _, Some(limit)) => Availability::Limited(limit.rate),
@@ -219,12 +231,12 @@
         self.limit
     }
 
-    /// Returns the answer that ended the last limit, if none is in force.
+    /// Returns the response that ended the last limit, if no limit is in force.
     fn ended(&self) -> Option<Answer> {
         self.ended.filter(|_| self.limit.is_none())
     }
 
-    /// Tells whether the target leaves.
+    /// Returns whether the target is draining.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
--- a/crates/tansyknot-fleet/src/backpressure/scheduler.rs
+++ b/crates/tansyknot-fleet/src/backpressure/scheduler.rs
@@ -1,7 +1,8 @@
-//! Which requests go to targets that name limits: one daemon decides for all of them, one by one.
+//! Schedules requests to targets that name limits: one daemon decides for all others, one request
+//! at a time.
 //!
-//! Nothing is lent out in advance, so that nothing is left over at a daemon that ends, freezes or is cut
-//! off, and a rate of less than one a second is kept by hundreds of daemons.
+//! No permits are lent in advance, so that none are left over at a daemon that ends, pauses or is
+//! disconnected, and hundreds of daemons together obey a rate of less than one a second.
 
 use std::{
     cmp::Reverse,
@@ -15,62 +16,67 @@
 use super::Rate;
 use crate::{access::message::Stamp, poison::key::RunKey};
 
-/// The share of a limit that is granted: requests arrive closer together than they were let go.
-const GRANTED_SHARE: f64 = 0.95;
-/// The same without a planner: two daemons may differ in whom they know, and both decide.
-const FALLBACK_SHARE: f64 = GRANTED_SHARE / 2.0;
-/// A grant that was due so long ago is made up for.
-const CARRIED: Duration = Duration::from_millis(100);
-/// A request that has not asked again for so long is not there any more.
-const ASK_LIFE: Duration = Duration::from_millis(500);
-/// A grant may have been lost: a request that asks again within this span is told it again.
-const GRANT_KEPT: Duration = Duration::from_millis(500);
-/// Another daemon that decided before may go on for so long, until it hears of this one.
-const HANDOVER: Duration = Duration::from_millis(500);
-/// Requests that wait for one target at most; the last in rank goes first.
-const WAITING_MOST: usize = 1024;
-
-/// By which right a daemon decides.
+/// The fraction of a limit that is granted: requests arrive closer together than they were granted.
+const GRANTED_FRACTION: f64 = 0.95;
+/// The fraction of a limit that is granted without a planner: two daemons may differ in the daemons
+/// they know, and both schedule.
+const FALLBACK_FRACTION: f64 = GRANTED_FRACTION / 2.0;
+/// A grant that is late by up to this much is made up for.
+const MAX_CATCH_UP: Duration = Duration::from_millis(100);
+/// A permit request that is not repeated within this time is dropped.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long grants are stored. A grant may have been lost, and a request that is repeated within
+/// this time is granted again.
+const GRANT_RETENTION: Duration = Duration::from_millis(500);
+/// Another daemon that scheduled before may go on for this long, until it receives a message from
+/// this one.
+const HANDOVER_DELAY: Duration = Duration::from_millis(500);
+/// The maximum number of requests that wait for one target; beyond it, the last one in order is
+/// dropped.
+const MAX_WAITING: usize = 1024;
+
+/// The authority under which a daemon schedules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Term {
-    /// By none.
+    /// The daemon has none.
     #[default]
     None,
-    /// It is the planner with this fencing token.
+    /// The daemon is the planner with this fencing token.
     Planner(u64),
-    /// The planner with this fencing token has gone and no other one has come.
+    /// The planner with this fencing token is gone, and no other has taken over.
     Fallback(u64),
 }
 
 impl Term {
-    /// Returns how long after a request the next one may go to a target that takes `rate`.
+    /// Returns the interval between two requests to a target that accepts `rate`.
     fn interval(self, rate: Rate) -> Duration {
-        let share = match self {
-            Term::None | Term::Planner(_) => GRANTED_SHARE,
-            Term::Fallback(_) => FALLBACK_SHARE,
+        let fraction = match self {
+            Term::None | Term::Planner(_) => GRANTED_FRACTION,
+            Term::Fallback(_) => FALLBACK_FRACTION,
         };
-        Duration::from_secs_f64(1.0 / (rate.per_s() * share))
+        Duration::from_secs_f64(1.0 / (rate.per_s() * fraction))
     }
 }
 
-/// A request that asks.
+/// A permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// Where its daemon hears.
+    /// The address of the daemon that sent it.
     pub from: SocketAddr,
-    /// Names it there.
+    /// Identifies the request at that daemon.
     pub number: u32,
-    /// When it asked, by that daemon's clock.
+    /// When it was sent, by that daemon's clock.
     pub stamp: Stamp,
-    /// The rank of the request; 0 goes first.
+    /// The priority of the request; 0 goes first.
     pub priority: u8,
-    /// Until when it can wait.
+    /// Until when the request can wait.
     pub until: Time,
 }
 
 impl Ask {
-    /// Requests of a higher rank go first, and of one rank those that can't wait.
-    fn order(&self) -> (u8, Time, SocketAddr, u32) {
+    /// Returns the sort key: requests go by priority, and within one priority those that can wait
+    /// the shortest go first.
+    fn sort_key(&self) -> (u8, Time, SocketAddr, u32) {
         (self.priority, self.until, self.from, self.number)
     }
 
@@ -79,48 +85,50 @@
     }
 }
 
-/// What becomes of a request that asks.
+/// The result of a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// It was granted before, and may not have heard.
+    /// The permit was granted before, but the reply may have been lost.
     Granted,
-    /// It has a place in the queue and is granted after so long if nobody else comes.
+    /// The request is queued, and is granted after this time if no other requests arrive.
     Queued(Duration),
 }
 
-/// Requests for one run of a target.
+/// The requests for one run of a target.
 #[derive(Clone, Debug)]
 struct Queue {
-    /// When the last one went, or should have gone.
-    last: Time,
+    /// When the last request was granted, or should have been.
+    last_grant: Time,
     interval: Duration,
     waiting: Vec<(Ask, Time)>,
 }
 
 impl Queue {
-    fn forget(&mut self, now: Time) {
-        let is_there = |(ask, heard): &(Ask, Time)| now.since(*heard) < ASK_LIFE && now < ask.until;
-        self.waiting.retain(is_there);
+    fn remove_expired(&mut self, now: Time) {
+        let is_live = |(ask, last_seen): &(Ask, Time)| {
+            now.since(*last_seen) < REQUEST_TIMEOUT && now < ask.until
+        };
+        self.waiting.retain(is_live);
     }
 
-    /// Returns when the next one may go.
-    fn next(&self) -> Time {
-        self.last + self.interval
+    /// Returns when the next request may be granted.
+    fn next_grant(&self) -> Time {
+        self.last_grant + self.interval
     }
 
-    /// Takes the request that goes next out, if one may go.
+    /// Removes and returns the first request, if one may be granted now.
     fn grant(&mut self, now: Time) -> Option<Ask> {
-        if now < self.next() {
+        if now < self.next_grant() {
             return None;
         }
-        let orders = self.waiting.iter().enumerate().map(|(n, (ask, _))| (ask.order(), n));
-        let (_, first) = orders.min()?;
-        self.last = self.next().max(now.before(CARRIED));
+        let keys = self.waiting.iter().enumerate().map(|(n, (ask, _))| (ask.sort_key(), n));
+        let (_, first) = keys.min()?;
+        self.last_grant = self.next_grant().max(now.before(MAX_CATCH_UP));
         Some(self.waiting.swap_remove(first).0)
     }
 
-    fn ahead(&self, ask: &Ask) -> usize {
-        self.waiting.iter().filter(|(other, _)| other.order() < ask.order()).count()
+    fn count_ahead(&self, ask: &Ask) -> usize {
+        self.waiting.iter().filter(|(other, _)| other.sort_key() < ask.sort_key()).count()
     }
 }
 
@@ -128,56 +136,59 @@
 #[derive(Debug, Default)]
 pub struct Scheduler {
     term: Term,
-    opened: Time,
+    term_start: Time,
     queues: HashMap<RunKey, Queue>,
-    /// What was granted lately, the oldest first.
+    /// Recent grants, the oldest first.
     granted: VecDeque<(Time, SocketAddr, u32)>,
 }
 
 impl Scheduler {
-    /// Goes on by this right, with nothing of what was decided by another one.
+    /// Begins to schedule under `term`; drops what was decided under another one.
     pub fn begin(&mut self, term: Term, now: Time) {
         if self.term != term {
-            *self = Self { term, opened: now, ..Self::default() };
+            *self = Self { term, term_start: now, ..Self::default() };
         }
     }
 
-    /// Takes in that a request asks for a run that takes `rate`.
+    /// Queues a permit request for a run that accepts `rate`.
     pub fn ask(&mut self, run: RunKey, rate: Rate, ask: Ask, now: Time) -> Place {
-        self.forget(now);
+        self.remove_expired(now);
         if self.granted.iter().any(|(_, from, number)| ask.is_of(*from, *number)) {
             return Place::Granted;
         }
         let interval = self.term.interval(rate);
-        let opens = match self.term {
+        let opens_at = match self.term {
             Term::None => now,
-            Term::Planner(_) | Term::Fallback(_) => now.max(self.opened + HANDOVER.max(interval)),
+            Term::Planner(_) | Term::Fallback(_) => {
+                now.max(self.term_start + HANDOVER_DELAY.max(interval))
+            }
         };
-        let new = || Queue { last: opens.before(interval), interval, waiting: Vec::new() };
+        let new = || Queue { last_grant: opens_at.before(interval), interval, waiting: Vec::new() };
         let queue = self.queues.entry(run).or_insert_with(new);
         queue.interval = interval;
-        queue.forget(now);
+        queue.remove_expired(now);
         queue.waiting.retain(|(other, _)| !other.is_of(ask.from, ask.number));
         queue.waiting.push((ask, now));
-        if queue.waiting.len() > WAITING_MOST {
-            queue.waiting.sort_by_key(|(ask, _)| Reverse(ask.order()));
+        if queue.waiting.len() > MAX_WAITING {
+            queue.waiting.sort_by_key(|(ask, _)| Reverse(ask.sort_key()));
             queue.waiting.swap_remove(0);
         }
-        Place::Queued(queue.next().since(now) + interval * queue.ahead(&ask) as u32)
+        Place::Queued(queue.next_grant().since(now) + interval * queue.count_ahead(&ask) as u32)
     }
 
-    /// Takes in that a request does not wait any more.
+    /// Removes a request that no longer waits.
     pub fn end(&mut self, run: RunKey, from: SocketAddr, number: u32) {
         if let Some(queue) = self.queues.get_mut(&run) {
             queue.waiting.retain(|(ask, _)| !ask.is_of(from, number));
         }
     }
 
-    /// Returns the requests that go now; all of them where the limit has ended.
+    /// Removes and returns the requests that are granted now; for a run without a limit, all of
+    /// them.
     pub fn grant(&mut self, rate: &dyn Fn(RunKey) -> Option<Rate>, now: Time) -> Vec<Ask> {
         let mut granted = Vec::new();
         for (run, queue) in &mut self.queues {
-            queue.forget(now);
+            queue.remove_expired(now);
             match rate(*run) {
                 Some(rate) => {
                     queue.interval = self.term.interval(rate);
@@ -189,17 +200,17 @@
             }
         }
         self.granted.extend(granted.iter().map(|ask| (now, ask.from, ask.number)));
-        self.queues.retain(|_, queue| !queue.waiting.is_empty() || now < queue.next());
+        self.queues.retain(|_, queue| !queue.waiting.is_empty() || now < queue.next_grant());
         granted
     }
 
-    /// Returns when the next request may go; `None` if none waits.
+    /// Returns when the next request may be granted; `None` if none waits.
     pub fn next_at(&self) -> Option<Time> {
-        self.queues.values().filter(|queue| !queue.waiting.is_empty()).map(Queue::next).min()
+        self.queues.values().filter(|queue| !queue.waiting.is_empty()).map(Queue::next_grant).min()
     }
 
-    fn forget(&mut self, now: Time) {
-        while self.granted.front().is_some_and(|(at, _, _)| now.since(*at) >= GRANT_KEPT) {
+    fn remove_expired(&mut self, now: Time) {
+        while self.granted.front().is_some_and(|(at, _, _)| now.since(*at) >= GRANT_RETENTION) {
             self.granted.pop_front();
         }
     }
