--- a/crates/tansyknot-fleet/src/catalog.rs
+++ b/crates/tansyknot-fleet/src/catalog.rs
@@ -6,69 +6,69 @@
 
 use crate::access::team::Teams;
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request may be retried after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     /// The request is idempotent.
     Idempotent,
     /// The request runs at most once.
     AtMostOnce,
-    /// The answer is a stream of events that may be continued after the last one received.
+    /// The response is a stream of events that may be resumed after the last received event.
     ResumableStream,
-    /// The answer is a stream of events that only one run may produce.
+    /// The response is a stream of events that must come from a single run.
     Stream,
 }
 
 impl Repeat {
-    /// Tells whether a second run is allowed after a first that may have begun.
+    /// Returns whether a request may run again after a first run may have begun.
     pub fn may_run_again(self) -> bool {
         matches!(self, Repeat::Idempotent | Repeat::ResumableStream)
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Repeat::ResumableStream | Repeat::Stream)
     }
 }
 
-/// Where requests with a host and a path prefix go, and how they are treated.
+/// The destination and the treatment of requests with a given host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name that operators gave it.
+    /// The name that operators gave the route.
     pub name: Arc<str>,
-    /// The `Host` header that it is for.
+    /// The `Host` header that the route matches.
     pub host: Arc<str>,
-    /// The start of the path, from slash to slash.
+    /// The path prefix that the route matches, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// Whether a request may run again.
+    /// Whether a request may be retried.
     pub repeat: Repeat,
-    /// A request gets its final answer within this time.
+    /// The time within which a request gets its final response.
     pub timeout: Duration,
-    /// An answer within this time is on time.
+    /// The time within which a response is on time.
     pub objective: Duration,
-    /// The longest pause between two events that is still on time.
+    /// The longest pause between two events that counts as on time.
     pub gap_objective: Option<Duration>,
-    /// The rank of its requests; 0 goes first.
+    /// The priority of the route's requests; 0 goes first.
     pub priority: u8,
-    /// Targets that one request may run on.
+    /// The maximum number of targets that one request may run on.
     pub attempts_max: u32,
-    /// The services that take its requests, and their shares.
+    /// The services that receive the route's requests, and their weights.
     pub split: Vec<(ServiceName, u32)>,
-    /// Whether its requests need no key.
+    /// Whether the route's requests need no key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Picks a service by `draw`, a uniformly distributed number.
+    /// Selects a service by `draw`, a uniformly distributed number, in proportion to the weights.
     pub fn service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.split.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut at = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for (service, weight) in &self.split {
             let weight = u64::from(*weight);
-            if at < weight {
+            if remaining < weight {
                 return Some(service);
             }
-            at -= weight;
+            remaining -= weight;
         }
         None
     }
@@ -79,7 +79,7 @@
 pub struct Model {
     /// Its name.
     pub name: ModelName,
-    /// Engine memory that it takes, in MB.
+    /// Engine memory that it uses, in MB.
     pub memory_mb: f64,
     /// How long a load from the weight store takes.
     pub load_remote: Duration,
@@ -87,11 +87,11 @@
     pub load_disk: Duration,
     /// How long a load from the target's main memory takes.
     pub load_memory: Duration,
-    /// Engine memory that one of its adapters takes, in MB.
+    /// Engine memory that one of its adapters uses, in MB.
     pub adapter_mb: f64,
 }
 
-/// What all engines of a service have in common.
+/// The properties that all engines of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// Requests that an engine runs at once.
@@ -102,18 +102,18 @@
     pub memory_mb: f64,
     /// Adapters that an engine may hold.
     pub adapter_slots: usize,
-    /// Loads that the weight store allows a second, over all engines.
+    /// Loads per second that the weight store allows over all engines.
     pub loads_per_s: f64,
     /// The models.
     pub models: HashMap<ModelName, Model>,
 }
 
-/// A service that routes lead to.
+/// A service that routes send requests to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Its engines' properties; `None` for a plain service.
+    /// The properties of its engines; `None` for a plain service.
     pub engine: Option<Engine>,
 }
 
@@ -124,7 +124,7 @@
     pub version: u64,
     /// The services by name.
     pub services: HashMap<ServiceName, Service>,
-    /// The teams whose keys requests need; `None` if they need none.
+    /// The teams whose keys requests need; `None` if requests need no key.
     pub teams: Option<Teams>,
     /// The routes of each host, the longest prefix first.
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
@@ -133,7 +133,7 @@
 }
 
 impl Catalog {
-    /// Makes a version of the configuration.
+    /// Creates a version of the configuration.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         let mut longest_objectives: HashMap<ServiceName, Duration> = HashMap::new();
@@ -157,7 +157,7 @@
         Self { teams, ..self }
     }
 
-    /// Returns the route with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix that `path` starts with.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|r| path.starts_with(r.prefix.as_ref()))
     }
@@ -167,7 +167,7 @@
         self.longest_objectives.get(service).copied().unwrap_or_default()
     }
 
-    /// Returns the engine properties of a service; `None` for a plain or unknown one.
+    /// Returns the engine properties of a service; `None` for a plain or unknown service.
     pub fn engine(&self, service: &ServiceName) -> Option<&Engine> {
         self.services.get(service)?.engine.as_ref()
     }
--- a/crates/tansyknot-fleet/src/target.rs
+++ b/crates/tansyknot-fleet/src/target.rs
@@ -1,21 +1,21 @@
-//! What the platform's list says of a target.
+//! Targets, as the platform's list and their own reports describe them.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use tansyknot_core::name::{AdapterName, ModelName, ServiceName, TargetName, ZoneName};
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It takes new work.
+    /// The target accepts new work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// The target finishes the requests that it has and leaves.
     Draining,
 }
 
 impl TargetState {
-    /// Returns the name that logs use.
+    /// Returns the name that is used in logs.
     pub fn name(self) -> &'static str {
         match self {
             TargetState::Ready => "ready",
@@ -24,23 +24,23 @@
     }
 }
 
-/// A model on a target.
+/// A model that is loaded at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The model.
     pub model: ModelName,
-    /// Its adapters that are loaded there.
+    /// The adapters of the model that are loaded there.
     pub adapters: Vec<AdapterName>,
 }
 
-/// When a run of a target began, in Unix milliseconds of its own clock.
+/// The start time of a run of a target, in Unix milliseconds of the target's clock.
 ///
-/// A target may start again under its name. It then holds nothing and knows nothing of before, and
-/// its counts start anew.
+/// A target may restart under its name. The new run has no models loaded, has no state of the
+/// former run, and its counters start from zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Born(pub u64);
 
-/// Tells whether two may be about the same run: one that does not say when it began may be any.
+/// Returns whether two start times may be of the same run; a run without a start time may be any.
 pub fn may_be_same_run(a: Option<Born>, b: Option<Born>) -> bool {
     a.is_none() || b.is_none() || a == b
 }
@@ -48,66 +48,66 @@
 /// One run of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its name, which no other bears.
+    /// The target's unique name.
     pub name: TargetName,
-    /// When this run began, if it says so.
+    /// The start time of this run, if the target reports it.
     pub born: Option<Born>,
     /// The service that it serves.
     pub service: ServiceName,
-    /// Where it listens. Another incarnation may have the address later.
+    /// The address on which it listens. Another incarnation may have the address later.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: TargetState,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// The models that it holds.
+    /// The models that are loaded.
     pub models: Vec<Held>,
-    /// Models whose weights lie in its main memory.
+    /// Models whose weights are in its main memory.
     pub in_memory: Vec<ModelName>,
-    /// Models whose weights lie on its disk.
+    /// Models whose weights are on its disk.
     pub on_disk: Vec<ModelName>,
     /// The version of its entry in the list; a higher one is newer.
     pub version: u64,
 }
 
 impl Target {
-    /// Returns a model that it holds.
+    /// Returns a model if it is loaded.
     pub fn held(&self, model: &ModelName) -> Option<&Held> {
         self.models.iter().find(|h| h.model == *model)
     }
 
-    /// Tells whether it holds the model and, if one is named, the adapter.
+    /// Returns whether the model and, if one is named, the adapter are loaded.
     pub fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
         let Some(held) = self.held(model) else { return false };
         adapter.is_none_or(|a| held.adapters.contains(a))
     }
 
-    /// Tells whether it takes new work.
+    /// Returns whether it accepts new work.
     pub fn is_ready(&self) -> bool {
         self.state == TargetState::Ready
     }
 }
 
-/// An entry of the list that is gone.
+/// An entry that was removed from the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
     /// The target.
     pub name: TargetName,
-    /// The store's version as of which the entry is gone. An entry of a higher one is newer.
+    /// The store's version as of which the entry is gone. An entry with a higher version is newer.
     pub version: u64,
 }
 
-/// What a target says of itself when it is asked; some hundred ms old.
+/// A target's reply to a request for its state, which is some hundred milliseconds old.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// When the run that reports began, if it says so.
+    /// The start time of the run that reports, if it reports one.
     pub born: Option<Born>,
-    /// Whether it carries out an order.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// Orders that it has accepted.
+    /// The number of orders that it has accepted.
     pub orders: u64,
-    /// The models that it holds.
+    /// The models that are loaded.
     pub models: Vec<Held>,
 }
