--- a/crates/tansyknot-fleet/src/estimate.rs
+++ b/crates/tansyknot-fleet/src/estimate.rs
@@ -1,46 +1,48 @@
-//! A running mean of spans and of how far they lie from it.
+//! A running mean of durations and of their deviation from it.
 
 use std::time::Duration;
 
-/// The share of the newest span in the mean, as TCP takes it for round trips (RFC 6298).
-const MEAN_SHARE: f64 = 0.125;
-/// The share of the newest distance in the mean distance (RFC 6298).
-const DEVIATION_SHARE: f64 = 0.25;
-/// Mean distances beyond the mean that hardly any span exceeds (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
+/// The weight of the newest duration in the mean, as TCP uses it for round-trip times (RFC 6298).
+const MEAN_WEIGHT: f64 = 0.125;
+/// The weight of the newest deviation in the mean deviation (RFC 6298).
+const DEVIATION_WEIGHT: f64 = 0.25;
+/// The number of mean deviations above the mean that few durations exceed (RFC 6298).
+const BOUND_DEVIATIONS: f64 = 4.0;
 
-/// What spans of one kind have been like lately.
+/// Statistics of recent durations of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    known: Option<Known>,
+    statistics: Option<Statistics>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Known {
+struct Statistics {
     mean_s: f64,
     deviation_s: f64,
 }
 
 impl Estimate {
-    /// Takes in a span that was seen.
-    pub fn observe(&mut self, span: Duration) {
-        let span_s = span.as_secs_f64();
-        let Some(known) = &mut self.known else {
-            self.known = Some(Known { mean_s: span_s, deviation_s: span_s / 2.0 });
+    /// Records an observed duration.
+    pub fn observe(&mut self, duration: Duration) {
+        let duration_s = duration.as_secs_f64();
+        let Some(statistics) = &mut self.statistics else {
+            self.statistics =
+                Some(Statistics { mean_s: duration_s, deviation_s: duration_s / 2.0 });
             return;
         };
-        let distance = (span_s - known.mean_s).abs();
-        known.deviation_s += DEVIATION_SHARE * (distance - known.deviation_s);
-        known.mean_s += MEAN_SHARE * (span_s - known.mean_s);
+        let deviation = (duration_s - statistics.mean_s).abs();
+        statistics.deviation_s += DEVIATION_WEIGHT * (deviation - statistics.deviation_s);
+        statistics.mean_s += MEAN_WEIGHT * (duration_s - statistics.mean_s);
     }
 
-    /// Returns the mean; `None` if no span was seen.
+    /// Returns the mean; `None` if no duration was observed.
     pub fn mean(&self) -> Option<Duration> {
-        self.known.map(|k| Duration::from_secs_f64(k.mean_s))
+        self.statistics.map(|s| Duration::from_secs_f64(s.mean_s))
     }
 
-    /// Returns what hardly any span exceeds; `None` if no span was seen.
+    /// Returns a bound that few durations exceed; `None` if no duration was observed.
     pub fn most(&self) -> Option<Duration> {
-        self.known.map(|k| Duration::from_secs_f64(k.mean_s + DEVIATIONS * k.deviation_s))
+        self.statistics
+            .map(|s| Duration::from_secs_f64(s.mean_s + BOUND_DEVIATIONS * s.deviation_s))
     }
 }
