--- a/crates/tansyknot-fleet/src/plan.rs
+++ b/crates/tansyknot-fleet/src/plan.rs
@@ -1,4 +1,5 @@
-//! What the planner orders: which model goes to which target, and what makes way for it.
+//! Decides the planner's orders: which model is loaded at which target, and which models are
+//! evicted for it.
 
 mod adapters;
 mod demand;
@@ -29,54 +30,58 @@
 
 pub use demand::DAEMON_SPAN;
 use demand::{Daemon, Demand};
-use mean::Mean;
-use place::Queue;
-use round::{ModelView, Reached, Round, Scope};
+use mean::RateMean;
+use place::QueueDelays;
+use round::{ModelView, ReachableTarget, Round, Scope};
 pub use tier::Tier;
 
-/// Requests in flight for one copy above which another copy is loaded, at most.
-const PER_COPY_MOST: f64 = 20.0;
-/// The same as a share of an engine's slots, which its other models need too; at 0.45 queries of
-/// the grown site were late more often (docs/ROUNDS.md).
-const PER_COPY_SHARE: f64 = 0.3;
-/// Arrivals a second above which a model has two copies, so that one lost target is no cold start.
-const TWO_COPIES_RATE: f64 = 1.5;
-/// Arrivals a second above which a model has three copies: reading prompts slows the tokens.
-const THREE_COPIES_RATE: f64 = 8.0;
-/// What an order takes beside the load itself: the call, and the news of its end.
-const STEP_SPAN: Duration = Duration::from_millis(100);
-/// A model that has been loaded stays until a request has been seen there, or this long if none
-/// comes: those who waited learn of it by datagrams, which may be lost and repeated. By the clock
-/// alone a target stood idle for over 1 s after every fourth load: 0.037 of worth over 15 days
-/// (docs/ACCOUNT.md).
-const SETTLE: Duration = Duration::from_millis(1500);
-/// What a model that is nowhere weighs if those who wait can still be on time.
-const FRESH_LACK: f64 = 1000.0;
-/// What a model that is nowhere weighs if they can't.
-const LATE_LACK: f64 = 500.0;
-/// Requests that wait this long although there are copies can't use those. At 0.6 s, two beats,
-/// loads were made for requests that were on their way already (docs/ROUNDS.md).
-const UNUSABLE_AFTER: Duration = Duration::from_millis(2500);
-/// What a model that many ask for and that is nowhere weighs.
-const HOT_LACK: f64 = 3000.0;
-/// What a copy that is overloaded weighs against a model that is nowhere.
-const OVERLOAD_LACK: f64 = 2000.0;
-/// A target whose task ended badly gets no new one for this long.
-const FAILED_SPAN: Duration = Duration::from_millis(700);
-/// The time constant of the mean of loads at a target, in seconds: as long as a load from the
-/// weight store, which it is weighed against.
-const LOADS_SPAN_S: f64 = 6.0;
-/// Loads a second below which a target's mean is forgotten, that of one load after a minute: they
-/// weigh nothing, and targets that have gone are not kept.
-const LOADS_NONE: f64 = 1e-5;
+/// The upper limit on the requests in flight per copy above which another copy is loaded.
+const MAX_REQUESTS_PER_COPY: f64 = 20.0;
+/// The same limit as a share of an engine's slots, which its other models need too. With a share of
+/// 0.45, queries are late more often.
+const COPY_SLOT_SHARE: f64 = 0.3;
+/// Arrivals per second above which a model has two copies, so that the loss of one target does not
+/// cause a cold start.
+const TWO_COPIES_RATE_PER_S: f64 = 1.5;
+/// Arrivals per second above which a model has three copies, as reading prompts slows down token
+/// generation.
+const THREE_COPIES_RATE_PER_S: f64 = 8.0;
+/// What an order takes in addition to the load itself: the call, and the report of its end.
+const ORDER_OVERHEAD: Duration = Duration::from_millis(100);
+/// A loaded model is not evicted until a request has been seen at the target, or for this long if
+/// none arrives: daemons with waiting requests learn of the load by datagrams, which may be lost
+/// and repeated. A fixed delay alone leaves a target idle for over 1 s after 25% of loads, which
+/// costs 0.037 of the requests' worth.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The urgency of a model that no target holds, if the waiting requests can still be on time.
+const ON_TIME_URGENCY: f64 = 1000.0;
+/// The urgency of a model that no target holds, if the waiting requests can't be on time any more.
+const LATE_URGENCY: f64 = 500.0;
+/// Requests that have waited this long although there are copies can't use those copies. A timeout
+/// of 0.6 s, two heartbeat intervals, orders loads for requests that are already on their way to a
+/// target.
+const UNUSABLE_COPIES_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The urgency of a model that no target holds and that is requested often.
+const HIGH_RATE_URGENCY: f64 = 3000.0;
+/// The urgency of another copy of a model whose copies are overloaded.
+const OVERLOAD_URGENCY: f64 = 2000.0;
+/// How long a target gets no new task after a failed one.
+const FAILED_TASK_DELAY: Duration = Duration::from_millis(700);
+/// The time constant, in seconds, of the mean rate of local loads at a target. It equals the
+/// duration of a load from the weight store, which is weighed against local loads.
+const LOCAL_LOADS_TIME_CONSTANT_S: f64 = 6.0;
+/// Local loads per second below which a target's mean is dropped; the mean of a single load reaches
+/// this rate after a minute. Lower rates have no effect, and targets that were removed must not be
+/// retained.
+const MIN_LOCAL_LOADS_PER_S: f64 = 1e-5;
 
 /// A model or adapter of a service.
-type Key = (ServiceName, ModelName, Option<AdapterName>);
+type DemandKey = (ServiceName, ModelName, Option<AdapterName>);
 
-/// Orders to one target, carried out one after the other.
+/// Orders for one target, carried out one after another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// The target, as it was when the task was made.
+    /// The target as it was when the task was created.
     pub target: Arc<Target>,
     /// The orders.
     pub steps: Vec<Step>,
@@ -87,12 +92,12 @@
 pub struct Step {
     /// What to do.
     pub action: Action,
-    /// How long it is expected to take.
+    /// The expected duration.
     pub takes: Duration,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingTask {
     service: ServiceName,
     loads: Vec<ModelName>,
     /// When the last order should be done.
@@ -100,24 +105,24 @@
     is_remote: bool,
 }
 
-/// What the planner knows of demand and of its own orders.
+/// The planner's record of demand and of its own orders.
 #[derive(Debug, Default)]
 pub struct Planner {
     daemons: HashMap<Arc<str>, Daemon>,
-    demand: HashMap<Key, Demand>,
-    pending: HashMap<TargetName, Pending>,
+    demand: HashMap<DemandKey, Demand>,
+    pending: HashMap<TargetName, PendingTask>,
     blocked: HashMap<TargetName, Time>,
-    /// Models that were loaded lately, and when, until a request has been seen there.
+    /// Models that were loaded recently, and when, until a request has been seen at the target.
     settling: HashMap<(TargetName, ModelName), Time>,
-    remote: VecDeque<Time>,
-    /// How often loads that are at hand have begun at each target.
-    near: HashMap<TargetName, Mean>,
-    /// When models should be there whose loads wait for their targets.
-    expected: HashMap<(ServiceName, ModelName), Time>,
+    remote_loads: VecDeque<Time>,
+    /// The rate at which loads from main memory or disk begin at each target.
+    local_loads: HashMap<TargetName, RateMean>,
+    /// When models should be ready whose loads wait for their targets.
+    queued_loads: HashMap<(ServiceName, ModelName), Time>,
 }
 
 impl Planner {
-    /// Takes in that a task has ended.
+    /// Records that a task has ended.
     pub fn ended(&mut self, target: &TargetName, end: TaskEnd, now: Time) {
         let pending = self.pending.remove(target);
         match end {
@@ -127,23 +132,23 @@
             }
             TaskEnd::Replan => {}
             TaskEnd::Failed => {
-                self.blocked.insert(target.clone(), now + FAILED_SPAN);
+                self.blocked.insert(target.clone(), now + FAILED_TASK_DELAY);
             }
         }
     }
 
-    /// Forgets every task, since another daemon is the planner now.
+    /// Drops all tasks and demand, as another daemon is the planner now.
     pub fn reset(&mut self) {
         self.pending.clear();
         self.daemons.clear();
         self.demand.clear();
-        self.expected.clear();
+        self.queued_loads.clear();
     }
 
-    /// Decides what to order now.
+    /// Returns the orders to send now.
     ///
-    /// `opens_at` tells from when a target may be ordered; `None` if it can't be reached, as far
-    /// as this daemon knows.
+    /// `opens_at` returns from when orders may be sent to a target; `None` if this daemon considers
+    /// the target unreachable.
     pub fn plan(
         &mut self,
         targets: &[Arc<Target>],
@@ -151,20 +156,21 @@
         catalog: &Catalog,
         now: Time,
     ) -> Vec<Task> {
-        self.forget(now);
+        self.expire(now);
         self.blocked.retain(|_, until| now < *until);
-        self.settling.retain(|_, at| now.since(*at) < SETTLE);
-        self.expected.clear();
-        self.near.retain(|_, loads| loads.at(now) > LOADS_NONE);
+        self.settling.retain(|_, at| now.since(*at) < SETTLE_TIMEOUT);
+        self.queued_loads.clear();
+        self.local_loads.retain(|_, loads| loads.rate_at(now) > MIN_LOCAL_LOADS_PER_S);
         let mut tasks = Vec::new();
         for service in catalog.services.values() {
             let Some(engine) = &service.engine else { continue };
             let objective = catalog.longest_objective(&service.name);
             let scope = Scope { service: &service.name, engine, objective, now };
             let of_service = targets.iter().filter(|t| t.service == service.name && t.is_ready());
-            let reached = |target| Some(Reached { target, opens_at: opens_at(&target.name)? });
-            let reached: Vec<Reached<'_>> = of_service.filter_map(reached).collect();
-            let round = Round::new(self, scope, &reached);
+            let reachable =
+                |target| Some(ReachableTarget { target, opens_at: opens_at(&target.name)? });
+            let reachable: Vec<ReachableTarget<'_>> = of_service.filter_map(reachable).collect();
+            let round = Round::new(self, scope, &reachable);
             self.settling.retain(|(target, model), _| round.in_flight(target, model) == 0);
             self.plan_models(&round, &mut tasks);
             self.plan_adapters(&round, &mut tasks);
@@ -172,55 +178,60 @@
         tasks
     }
 
-    /// Loads models that are asked for and have too few copies, the most urgent first.
+    /// Loads models that are requested and have too few copies, the most urgent first.
     fn plan_models(&mut self, round: &Round<'_>, tasks: &mut Vec<Task>) {
         let mut wanted: Vec<(f64, ModelName)> = Vec::new();
         for (model, view) in round.models() {
-            let lack = self.lack(round, model, view);
-            if lack > 0.0 {
-                wanted.push((lack, model.clone()));
+            let load_urgency = self.load_urgency(round, model, view);
+            if load_urgency > 0.0 {
+                wanted.push((load_urgency, model.clone()));
             }
         }
         wanted.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        let mut queue = Queue::new();
+        let mut queue = QueueDelays::new();
         for (_, model) in wanted {
             let Some(placement) = self.place(round, &queue, &model) else { continue };
             match placement.task {
-                Some(task) => self.begin(task, round, tasks),
+                Some(task) => self.begin_task(task, round, tasks),
                 None => {
                     let key = (round.scope.service.clone(), model);
-                    self.expected.insert(key, round.scope.now + placement.ready_in);
+                    self.queued_loads.insert(key, round.scope.now + placement.ready_in);
                     queue.insert(placement.target, placement.ready_in);
                 }
             }
         }
     }
 
-    /// Returns how much a model lacks a copy: zero if it has enough.
-    fn lack(&self, round: &Round<'_>, model: &ModelName, view: &ModelView) -> f64 {
-        let coming = self.pending.values().filter(|p| p.loads.contains(model)).count();
-        let all = view.copies + coming;
-        if all == 0 {
+    /// Returns the urgency of loading another copy of a model; zero if it has enough copies.
+    fn load_urgency(&self, round: &Round<'_>, model: &ModelName, view: &ModelView) -> f64 {
+        let pending_loads = self.pending.values().filter(|p| p.loads.contains(model)).count();
+        let total_copies = view.copies + pending_loads;
+        if total_copies == 0 {
             return match view.all_waiting() {
                 0 => 0.0,
-                _ if view.rate > TWO_COPIES_RATE => HOT_LACK + view.rate,
-                _ => urgency(view),
+                _ if view.rate > TWO_COPIES_RATE_PER_S => HIGH_RATE_URGENCY + view.rate,
+                _ => waiting_urgency(view),
             };
         }
-        let is_new = self.settling.keys().any(|(_, m)| m == model);
-        if coming == 0 && view.waiting > 0 && view.waited > UNUSABLE_AFTER && !is_new {
-            // There are copies, but those who wait can't use them.
-            return urgency(view);
+        let is_settling = self.settling.keys().any(|(_, m)| m == model);
+        if pending_loads == 0
+            && view.waiting > 0
+            && view.longest_wait > UNUSABLE_COPIES_TIMEOUT
+            && !is_settling
+        {
+            // There are copies, but the waiting requests can't use them.
+            return waiting_urgency(view);
         }
-        if all >= needed_copies(round, view) {
+        if total_copies >= needed_copies(round, view) {
             return 0.0;
         }
-        let is_overloaded = f64::from(view.in_flight) > per_copy(round) * view.copies as f64;
-        let share = view.rate / all as f64;
-        if is_overloaded { OVERLOAD_LACK + share } else { share }
+        let is_overloaded =
+            f64::from(view.in_flight) > requests_per_copy(round) * view.copies as f64;
+        let rate_per_copy = view.rate / total_copies as f64;
+        if is_overloaded { OVERLOAD_URGENCY + rate_per_copy } else { rate_per_copy }
     }
 
-    fn begin(&mut self, task: Task, round: &Round<'_>, tasks: &mut Vec<Task>) {
+    fn begin_task(&mut self, task: Task, round: &Round<'_>, tasks: &mut Vec<Task>) {
         let mut loads = Vec::new();
         let mut is_remote = false;
         for step in &task.steps {
@@ -230,65 +241,68 @@
             }
         }
         if !loads.is_empty() && !is_remote {
-            let mean = || Mean::over(LOADS_SPAN_S);
-            let near = self.near.entry(task.target.name.clone()).or_insert_with(mean);
-            near.add(1, round.scope.now);
+            let mean = || RateMean::with_time_constant(LOCAL_LOADS_TIME_CONSTANT_S);
+            let local_loads = self.local_loads.entry(task.target.name.clone()).or_insert_with(mean);
+            local_loads.add(1, round.scope.now);
         }
-        let takes: Duration = task.steps.iter().map(|s| s.takes + STEP_SPAN).sum();
+        let takes: Duration = task.steps.iter().map(|s| s.takes + ORDER_OVERHEAD).sum();
         let (service, done_at) = (round.scope.service.clone(), round.scope.now + takes);
-        let pending = Pending { service, loads, done_at, is_remote };
+        let pending = PendingTask { service, loads, done_at, is_remote };
         self.pending.insert(task.target.name.clone(), pending);
         tasks.push(task);
     }
 
     /// Returns the models that are being loaded, or whose loads wait for their targets, and when
-    /// each should be there.
+    /// each should be ready.
     pub fn coming(&self, now: Time) -> Vec<Coming> {
-        let coming = |service: &ServiceName, model: &ModelName, at: Time| Coming {
+        let pending_load = |service: &ServiceName, model: &ModelName, at: Time| Coming {
             service: service.clone(),
             model: model.clone(),
-            in_ms: message::millis(at.since(now).max(STEP_SPAN)),
+            in_ms: message::millis(at.since(now).max(ORDER_OVERHEAD)),
         };
-        let queued = self.expected.iter().map(|((service, model), at)| coming(service, model, *at));
+        let queued = self
+            .queued_loads
+            .iter()
+            .map(|((service, model), at)| pending_load(service, model, *at));
         let pending = self.pending.values().flat_map(|p| {
-            let of = |model: &ModelName| coming(&p.service, model, p.done_at);
-            p.loads.iter().map(of).collect::<Vec<Coming>>()
+            let of_task = |model: &ModelName| pending_load(&p.service, model, p.done_at);
+            p.loads.iter().map(of_task).collect::<Vec<Coming>>()
         });
         queued.chain(pending).collect()
     }
 }
 
-/// Returns how urgent a model is that requests wait for: those that can still be on time go
-/// before those that can't, many before few, and the longest wait goes first among them.
-fn urgency(view: &ModelView) -> f64 {
-    let base = if view.on_time > 0 { FRESH_LACK } else { LATE_LACK };
-    base + f64::from(view.all_waiting()) + view.waited.as_secs_f64()
+/// Returns the urgency of a model that requests wait for. Requests that can still be on time take
+/// precedence over late ones, then many requests over few, then long waits over short ones.
+fn waiting_urgency(view: &ModelView) -> f64 {
+    let base = if view.on_time > 0 { ON_TIME_URGENCY } else { LATE_URGENCY };
+    base + f64::from(view.all_waiting()) + view.longest_wait.as_secs_f64()
 }
 
-/// Returns how many requests in flight one copy is for.
-fn per_copy(round: &Round<'_>) -> f64 {
-    let share = PER_COPY_SHARE * f64::from(round.scope.engine.slots);
-    share.clamp(1.0, PER_COPY_MOST)
+/// Returns the requests in flight that one copy is intended for.
+fn requests_per_copy(round: &Round<'_>) -> f64 {
+    let limit = COPY_SLOT_SHARE * f64::from(round.scope.engine.slots);
+    limit.clamp(1.0, MAX_REQUESTS_PER_COPY)
 }
 
 fn needed_copies(round: &Round<'_>, view: &ModelView) -> usize {
     let by_rate = match view.rate {
-        r if r > THREE_COPIES_RATE => 3,
-        r if r > TWO_COPIES_RATE => 2,
+        r if r > THREE_COPIES_RATE_PER_S => 3,
+        r if r > TWO_COPIES_RATE_PER_S => 2,
         _ => 1,
     };
-    let by_load = (f64::from(view.in_flight) / per_copy(round)).ceil() as usize;
+    let by_load = (f64::from(view.in_flight) / requests_per_copy(round)).ceil() as usize;
     by_rate.max(by_load)
 }
 
-/// Returns the engine memory that a target's models and adapters take; a model that the
-/// configuration does not know takes all there is.
+/// Returns the engine memory that a target's models and adapters use, in MB. A model that is not in
+/// the configuration counts as using all of it.
 pub fn used_mb(engine: &Engine, target: &Target) -> f64 {
-    target.models.iter().map(|h| held_mb(engine, target, &h.model)).sum()
+    target.models.iter().map(|h| model_mb(engine, target, &h.model)).sum()
 }
 
-fn held_mb(engine: &Engine, target: &Target, model: &ModelName) -> f64 {
-    let Some(about) = engine.models.get(model) else { return engine.memory_mb };
+fn model_mb(engine: &Engine, target: &Target, model: &ModelName) -> f64 {
+    let Some(spec) = engine.models.get(model) else { return engine.memory_mb };
     let adapters = target.held(model).map_or(0, |h| h.adapters.len());
-    about.memory_mb + about.adapter_mb * adapters as f64
+    spec.memory_mb + spec.adapter_mb * adapters as f64
 }
--- a/crates/tansyknot-fleet/src/plan/adapters.rs
+++ b/crates/tansyknot-fleet/src/plan/adapters.rs
@@ -1,4 +1,4 @@
-//! Which adapters are loaded beside which copies of their models.
+//! Selects the adapters to load, and the copies of their models beside which to load them.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -8,7 +8,7 @@
 use crate::{outside::Action, target::Target};
 
 impl Planner {
-    /// Loads adapters that are waited for, beside their models.
+    /// Loads the adapters that requests wait for, beside their models.
     pub(super) fn plan_adapters(&mut self, round: &Round<'_>, tasks: &mut Vec<Task>) {
         let wanted = self.wanted_adapters(round);
         let mut by_target: HashMap<TargetName, Task> = HashMap::new();
@@ -16,8 +16,9 @@
             let Some(target) = self.adapter_target(round, &model, &adapter, &by_target) else {
                 continue;
             };
-            let begun = by_target.get(&target.name).map_or(0, |t| t.steps.len());
-            let Some(steps) = self.adapter_steps(round, target, &model, &adapter, begun) else {
+            let planned_steps = by_target.get(&target.name).map_or(0, |t| t.steps.len());
+            let Some(steps) = self.adapter_steps(round, target, &model, &adapter, planned_steps)
+            else {
                 continue;
             };
             let task = by_target
@@ -26,7 +27,7 @@
             task.steps.extend(steps);
         }
         for task in by_target.into_values() {
-            self.begin(task, round, tasks);
+            self.begin_task(task, round, tasks);
         }
     }
 
@@ -46,30 +47,31 @@
         wanted.into_iter().map(|(_, model, adapter)| (model, adapter)).collect()
     }
 
-    /// Chooses the holder of the model with the fewest adapters; one with a task is left alone.
+    /// Selects the target with the fewest adapters among those that hold the model and have no
+    /// task.
     fn adapter_target<'a>(
         &self,
         round: &Round<'a>,
         model: &ModelName,
         adapter: &AdapterName,
-        begun: &HashMap<TargetName, Task>,
+        planned: &HashMap<TargetName, Task>,
     ) -> Option<&'a Arc<Target>> {
-        let free = |t: &&&'a Arc<Target>| {
+        let is_free = |t: &&&'a Arc<Target>| {
             t.holds(model, None)
-                && round.rests_for(&t.name).is_none()
+                && round.cooldown(&t.name).is_none()
                 && !self.pending.contains_key(&t.name)
                 && !self.blocked.contains_key(&t.name)
         };
-        let count = |t: &Target| {
-            let there: usize = t.models.iter().map(|h| h.adapters.len()).sum();
-            there + begun.get(&t.name).map_or(0, |task| task.steps.len())
+        let adapter_count = |t: &Target| {
+            let loaded: usize = t.models.iter().map(|h| h.adapters.len()).sum();
+            loaded + planned.get(&t.name).map_or(0, |task| task.steps.len())
         };
-        let spread = |t: &Target| {
+        let tie_break = |t: &Target| {
             let text = format!("{}/{adapter}", t.name);
             xxhash_rust::xxh3::xxh3_64(text.as_bytes())
         };
-        let holders = round.targets.iter().filter(free);
-        holders.min_by_key(|t| (count(t), spread(t))).copied()
+        let holders = round.targets.iter().filter(is_free);
+        holders.min_by_key(|t| (adapter_count(t), tie_break(t))).copied()
     }
 
     fn adapter_steps(
@@ -78,22 +80,23 @@
         target: &Target,
         model: &ModelName,
         adapter: &AdapterName,
-        begun: usize,
+        planned_steps: usize,
     ) -> Option<Vec<Step>> {
-        let about = round.scope.engine.models.get(model)?;
-        let there: usize = target.models.iter().map(|h| h.adapters.len()).sum();
+        let spec = round.scope.engine.models.get(model)?;
+        let loaded: usize = target.models.iter().map(|h| h.adapters.len()).sum();
         let mut steps = Vec::new();
-        if there + begun >= round.scope.engine.adapter_slots {
-            // One exchange in each task: what the one before removed is not known here.
-            if begun > 0 {
+        if loaded + planned_steps >= round.scope.engine.adapter_slots {
+            // Each task replaces at most one adapter, as `target` does not reflect earlier removals
+            // of the task.
+            if planned_steps > 0 {
                 return None;
             }
             let (victim_model, victim) = self.least_used_adapter(round, target)?;
             let action = Action::Remove { model: victim_model, adapter: Some(victim) };
             steps.push(Step { action, takes: Duration::ZERO });
         }
-        let free = round.scope.engine.memory_mb - used_mb(round.scope.engine, target);
-        if steps.is_empty() && free < about.adapter_mb * (begun + 1) as f64 {
+        let free_mb = round.scope.engine.memory_mb - used_mb(round.scope.engine, target);
+        if steps.is_empty() && free_mb < spec.adapter_mb * (planned_steps + 1) as f64 {
             return None;
         }
         let action = Action::Load { model: model.clone(), adapter: Some(adapter.clone()) };
@@ -111,7 +114,7 @@
             let key = (round.scope.service.clone(), (*model).clone(), Some((*adapter).clone()));
             self.rate(&key, round.scope.now)
         };
-        let least = all.min_by(|a, b| rate(a).total_cmp(&rate(b)))?;
-        Some((least.0.clone(), least.1.clone()))
+        let least_used = all.min_by(|a, b| rate(a).total_cmp(&rate(b)))?;
+        Some((least_used.0.clone(), least_used.1.clone()))
     }
 }
--- a/crates/tansyknot-fleet/src/plan/demand.rs
+++ b/crates/tansyknot-fleet/src/plan/demand.rs
@@ -1,4 +1,5 @@
-//! What daemons ask of models: who waits, since when, and how often models are asked for.
+//! Demand for models as reported by daemons: waiting requests, since when they wait, and arrival
+//! rates.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,35 +9,37 @@
 
 use tansyknot_core::{clock::Time, name::TargetName};
 
-use super::{Key, Planner, mean::Mean};
-use crate::dissemination::message::{Demand as Told, InFlight, TargetLoad};
+use super::{DemandKey, Planner, mean::RateMean};
+use crate::dissemination::message::{Demand as DemandReport, InFlight, TargetLoad};
 
-/// A daemon that has been silent this long no longer counts.
+/// A daemon that has sent no message for this long no longer counts.
 pub const DAEMON_SPAN: Duration = Duration::from_secs(2);
-/// What a daemon said of waiting requests counts this long; it repeats it while they wait.
-const WAITING_SPAN: Duration = Duration::from_millis(900);
-/// The time constant of the running mean of arrivals, in seconds: rare models of the users' sites
-/// are asked for every 3 s.
-const RATE_SPAN_S: f64 = 6.0;
-/// The time constant of a second mean, in seconds, which bounds the first one, so that demand that
-/// moves to other models is seen in a second or two; without it copies stayed some 10 s: 0.013 of
-/// worth over 30 days (docs/ACCOUNT.md).
-const FAST_SPAN_S: f64 = 1.0;
-/// Standard deviations of the second mean that the first one may lie beside it.
-const FAST_DEVIATIONS: f64 = 2.0;
+/// How long a daemon's report of waiting requests is valid. The daemon repeats it while they wait.
+const WAITING_REPORT_TTL: Duration = Duration::from_millis(900);
+/// The time constant of the slow mean of arrivals, in seconds. Rare models are requested every 3 s.
+const SLOW_TIME_CONSTANT_S: f64 = 6.0;
+/// The time constant, in seconds, of a fast mean that bounds the slow one, so that demand that
+/// moves to other models is seen within one or two seconds. Without it, unneeded copies stay for
+/// about 10 s, which costs 0.013 of the requests' worth.
+const FAST_TIME_CONSTANT_S: f64 = 1.0;
+/// How far the slow mean may lie from the fast one, in standard deviations of the fast one.
+const MAX_FAST_DEVIATIONS: f64 = 2.0;
 
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
-    /// When each request that waits was first heard of, the oldest first.
-    waiting: VecDeque<Time>,
-    slow: Mean,
-    fast: Mean,
+    /// When each waiting request was first reported, the oldest first.
+    waiting_since: VecDeque<Time>,
+    slow: RateMean,
+    fast: RateMean,
 }
 
 impl Default for Demand {
     fn default() -> Self {
-        let (slow, fast) = (Mean::over(RATE_SPAN_S), Mean::over(FAST_SPAN_S));
-        Self { waiting: VecDeque::new(), slow, fast }
+        let (slow, fast) = (
+            RateMean::with_time_constant(SLOW_TIME_CONSTANT_S),
+            RateMean::with_time_constant(FAST_TIME_CONSTANT_S),
+        );
+        Self { waiting_since: VecDeque::new(), slow, fast }
     }
 }
 
@@ -46,112 +49,116 @@
         self.fast.add(arrived, now);
     }
 
-    /// Takes in that a daemon has `after` requests that wait, which had `before`.
+    /// Records that the waiting requests of a daemon changed from `before` to `after`.
     fn change_waiting(&mut self, before: u16, after: u16, now: Time) {
         let others = self.waiting().saturating_sub(before.into());
         self.set_waiting(others + u32::from(after), now);
     }
 
-    /// Takes in how many requests wait now. Those that have waited longest leave first, as a load
-    /// serves all of them and callers leave in the order in which they came.
+    /// Sets the number of waiting requests. Those that have waited longest are removed first, as a
+    /// load serves all of them and callers leave in order of arrival.
     fn set_waiting(&mut self, count: u32, now: Time) {
         let count = count as usize;
-        let gone = self.waiting.len().saturating_sub(count);
-        self.waiting.drain(..gone);
-        self.waiting.resize(count, now);
+        let excess = self.waiting_since.len().saturating_sub(count);
+        self.waiting_since.drain(..excess);
+        self.waiting_since.resize(count, now);
     }
 
     /// Returns how many requests wait.
     pub(super) fn waiting(&self) -> u32 {
-        self.waiting.len() as u32
+        self.waiting_since.len() as u32
     }
 
-    /// Returns how many of them have waited for less than `span`.
-    pub(super) fn waiting_within(&self, span: Duration, now: Time) -> u32 {
-        let is_within = |since: &&Time| now.since(**since) < span;
-        self.waiting.iter().rev().take_while(is_within).count() as u32
+    /// Returns how many requests have waited for less than `max_age`.
+    pub(super) fn waiting_within(&self, max_age: Duration, now: Time) -> u32 {
+        let is_within = |since: &&Time| now.since(**since) < max_age;
+        self.waiting_since.iter().rev().take_while(is_within).count() as u32
     }
 
-    /// Returns how long the first of them has waited; zero if there is none.
-    pub(super) fn waited(&self, now: Time) -> Duration {
-        self.waiting.front().map_or(Duration::ZERO, |since| now.since(*since))
+    /// Returns how long the oldest request has waited; zero if none waits.
+    pub(super) fn longest_wait(&self, now: Time) -> Duration {
+        self.waiting_since.front().map_or(Duration::ZERO, |since| now.since(*since))
     }
 
-    /// Returns arrivals a second: the slow mean, unless the fast one shows that it has moved.
+    /// Returns the arrivals per second: the slow mean, bounded by the fast one.
     pub(super) fn rate_at(&self, now: Time) -> f64 {
-        let fast = self.fast.at(now);
-        // Arrivals that come at random vary as their number does.
-        let deviation = (fast.max(1.0 / FAST_SPAN_S) / (2.0 * FAST_SPAN_S)).sqrt();
-        let beside = FAST_DEVIATIONS * deviation;
-        self.slow.at(now).clamp((fast - beside).max(0.0), fast + beside)
+        let fast = self.fast.rate_at(now);
+        // Random (Poisson) arrivals have a variance equal to their expected number.
+        let deviation =
+            (fast.max(1.0 / FAST_TIME_CONSTANT_S) / (2.0 * FAST_TIME_CONSTANT_S)).sqrt();
+        let margin = MAX_FAST_DEVIATIONS * deviation;
+        self.slow.rate_at(now).clamp((fast - margin).max(0.0), fast + margin)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Daemon {
     incarnation: Arc<str>,
-    beat: u32,
-    heard: Time,
-    arrived: HashMap<Key, u32>,
-    pub(super) waiting: HashMap<Key, (u16, Time)>,
+    seq: u32,
+    last_seen: Time,
+    arrived: HashMap<DemandKey, u32>,
+    pub(super) waiting: HashMap<DemandKey, (u16, Time)>,
     pub(super) in_flight: Vec<InFlight>,
 }
 
 impl Daemon {
-    fn is_silent(&self, now: Time) -> bool {
-        now.since(self.heard) >= DAEMON_SPAN
+    fn is_unresponsive(&self, now: Time) -> bool {
+        now.since(self.last_seen) >= DAEMON_SPAN
     }
 
-    /// Takes in requests at targets: a whole that is newer, or one more part of the newest.
-    fn take_in_flight(&mut self, beat: u32, in_flight: Vec<InFlight>) {
-        if beat == self.beat {
+    /// Records requests at targets: a newer report replaces the recorded one, and a further part of
+    /// the newest report adds to it.
+    fn update_in_flight(&mut self, seq: u32, in_flight: Vec<InFlight>) {
+        if seq == self.seq {
             self.in_flight.extend(in_flight);
-        } else if beat > self.beat {
-            self.beat = beat;
+        } else if seq > self.seq {
+            self.seq = seq;
             self.in_flight = in_flight;
         }
     }
 }
 
 impl Planner {
-    /// Takes in what a daemon asks for, or a part of that.
-    pub fn hear(&mut self, demand: Told, now: Time) {
-        let Self { daemons, demand: wanted, .. } = self;
-        let known = daemons.entry(demand.daemon).or_default();
-        if known.incarnation != demand.incarnation {
-            for (key, (before, _)) in known.waiting.drain() {
-                wanted.entry(key).or_default().change_waiting(before, 0, now);
+    /// Records a daemon's report of its demand, or a part of one.
+    pub fn hear(&mut self, report: DemandReport, now: Time) {
+        let Self { daemons, demand: totals, .. } = self;
+        let daemon = daemons.entry(report.daemon).or_default();
+        if daemon.incarnation != report.incarnation {
+            for (key, (before, _)) in daemon.waiting.drain() {
+                totals.entry(key).or_default().change_waiting(before, 0, now);
             }
-            *known = Daemon { incarnation: demand.incarnation, heard: now, ..Daemon::default() };
+            *daemon =
+                Daemon { incarnation: report.incarnation, last_seen: now, ..Daemon::default() };
         }
-        known.heard = now;
-        known.take_in_flight(demand.beat, demand.in_flight);
-        for u in &demand.models {
+        daemon.last_seen = now;
+        daemon.update_in_flight(report.beat, report.in_flight);
+        for u in &report.models {
             let key = (u.service.clone(), u.model.clone(), u.adapter.clone());
-            let before = known.arrived.insert(key.clone(), u.arrived);
-            // What a daemon counted before this planner heard of it came at an unknown time.
+            let before = daemon.arrived.insert(key.clone(), u.arrived);
+            // Arrivals that a daemon counted before its first report to this planner came at
+            // unknown times.
             let arrived = match before {
                 Some(before) => u.arrived.saturating_sub(before),
                 None => u.arrived.min(1),
             };
-            let waited = known.waiting.insert(key.clone(), (u.waiting, now));
-            let waited = waited.map_or(0, |(waiting, _)| waiting);
-            let of_all = wanted.entry(key).or_default();
-            of_all.add(arrived, now);
-            of_all.change_waiting(waited, u.waiting, now);
+            let waiting_before = daemon.waiting.insert(key.clone(), (u.waiting, now));
+            let waiting_before = waiting_before.map_or(0, |(waiting, _)| waiting);
+            let total = totals.entry(key).or_default();
+            total.add(arrived, now);
+            total.change_waiting(waiting_before, u.waiting, now);
         }
-        if self.daemons.values().any(|d| d.is_silent(now)) {
-            self.forget(now);
+        if self.daemons.values().any(|d| d.is_unresponsive(now)) {
+            self.expire(now);
         }
     }
 
-    /// Drops what was said too long ago. Once a round and not with each demand: 295 daemons send
-    /// some 1500 a second, and this goes over what all of them said.
-    pub(super) fn forget(&mut self, now: Time) {
-        self.daemons.retain(|_, d| !d.is_silent(now));
-        let mut sums: HashMap<&Key, u32> = HashMap::new();
+    /// Drops expired reports. This runs once per round and not for each report: 295 daemons send
+    /// about 1,500 reports per second, and each run visits the data of all daemons.
+    pub(super) fn expire(&mut self, now: Time) {
+        self.daemons.retain(|_, d| !d.is_unresponsive(now));
+        let mut sums: HashMap<&DemandKey, u32> = HashMap::new();
         for daemon in self.daemons.values_mut() {
-            daemon.waiting.retain(|_, (_, at)| now.since(*at) < WAITING_SPAN);
+            daemon.waiting.retain(|_, (_, at)| now.since(*at) < WAITING_REPORT_TTL);
             for (key, (waiting, _)) in &daemon.waiting {
                 *sums.entry(key).or_default() += u32::from(*waiting);
             }
@@ -161,7 +168,7 @@
         }
     }
 
-    /// Returns the daemons heard of lately.
+    /// Returns the number of daemons that have reported recently.
     pub fn daemons(&self) -> usize {
         self.daemons.len()
     }
@@ -176,7 +183,7 @@
         sums.into_iter().map(|(target, requests)| TargetLoad { target, requests }).collect()
     }
 
-    pub(super) fn rate(&self, key: &Key, now: Time) -> f64 {
+    pub(super) fn rate(&self, key: &DemandKey, now: Time) -> f64 {
         self.demand.get(key).map_or(0.0, |d| d.rate_at(now))
     }
 }
--- a/crates/tansyknot-fleet/src/plan/place.rs
+++ b/crates/tansyknot-fleet/src/plan/place.rs
@@ -1,4 +1,4 @@
-//! Where a model is loaded: the target that has it soonest, and what makes way there.
+//! Selects the target at which a model is loaded, and the models that are evicted there.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -8,34 +8,34 @@
 };
 
 use super::{
-    Planner, Round, STEP_SPAN, Step, Task, Tier, held_mb, needed_copies, used_mb,
-    way::{self, Victim, Way},
+    ORDER_OVERHEAD, Planner, Round, Step, Task, Tier, model_mb, needed_copies, used_mb,
+    way::{self, Eviction, Victim},
 };
 use crate::{catalog::Model, outside::Action, target::Target};
 
-/// What a task that should be done by now is expected to take yet: nine in ten loads are known
-/// within 0.1 s of their end.
-const OVERDUE_SPAN: Duration = Duration::from_millis(100);
-/// What losing a model that one request a second asks for costs, in seconds of load time: the way
-/// back from disk takes some 0.5 s and a place in the queue.
-const RATE_WEIGHT_S: f64 = 0.7;
-/// What losing a copy that is not needed costs against one that is.
+/// The remaining time assumed for a task that should be done by now: the end of 90% of loads is
+/// reported within 0.1 s.
+const OVERDUE_TASK_REMAINING: Duration = Duration::from_millis(100);
+/// The cost of evicting a model that gets one request per second, in seconds of load time: loading
+/// it again from disk takes about 0.5 s and a place in a target's queue.
+const EVICTION_LOSS_S: f64 = 0.7;
+/// The factor on [`EVICTION_LOSS_S`] for a copy that is not needed.
 const SPARE_COPY_WEIGHT: f64 = 0.1;
-/// Loads from the weight store that may begin within [`REMOTE_WINDOW`]; two planners in turn
-/// keep below what the platform allows.
-const REMOTE_SHARE: f64 = 0.45;
+/// The share of the loads allowed by the weight store within [`REMOTE_WINDOW`] that one planner
+/// uses, so that two planners in succession stay below the platform's limit.
+const REMOTE_LOAD_SHARE: f64 = 0.45;
 /// The window in which loads from the weight store are counted.
 const REMOTE_WINDOW: Duration = Duration::from_secs(5);
-/// Loads from the weight store under way at once; beyond it each takes longer (the users' brief:
-/// four at once at full speed).
-const REMOTE_AT_ONCE: usize = 4;
-/// Share of an engine's slots in use above which no copy is added there.
-const BUSY_SHARE: f64 = 0.8;
+/// The maximum number of concurrent loads from the weight store: it serves four at once at full
+/// speed, and more slow each other down.
+const MAX_CONCURRENT_REMOTE_LOADS: usize = 4;
+/// The share of an engine's slots in use above which no copy is added there.
+const BUSY_SLOT_SHARE: f64 = 0.8;
 
-/// When targets should be done with the loads that wait for them, from now.
-pub(super) type Queue = HashMap<TargetName, Duration>;
+/// How long targets are occupied by the loads that wait for them.
+pub(super) type QueueDelays = HashMap<TargetName, Duration>;
 
-/// Where a model is loaded and when it should be there.
+/// Where a model is loaded, and when it should be ready.
 #[derive(Clone, Debug)]
 pub(super) struct Placement {
     pub(super) target: TargetName,
@@ -44,102 +44,120 @@
     pub(super) task: Option<Task>,
 }
 
-/// A placement and what it costs in seconds.
+/// A placement and its cost in seconds.
 #[derive(Clone, Debug)]
-struct Weighed {
+struct CostedPlacement {
     cost: f64,
     placement: Placement,
 }
 
 impl Planner {
-    /// Finds the target where a model is loaded soonest at the least loss, behind the loads that
-    /// are in `queue`.
+    /// Selects the target where a model can be loaded soonest at the lowest cost, behind the loads
+    /// in `queue`.
     pub(super) fn place(
         &self,
         round: &Round<'_>,
-        queue: &Queue,
+        queue: &QueueDelays,
         model: &ModelName,
     ) -> Option<Placement> {
-        let about = round.scope.engine.models.get(model)?;
+        let spec = round.scope.engine.models.get(model)?;
         let is_extra = round.model(model).copies > 0;
-        let remote_allowed = self.remote_allowed(round);
-        let has_room =
+        let is_remote_load_allowed = self.is_remote_load_allowed(round);
+        let is_eligible =
             |t: &&&Arc<Target>| !t.holds(model, None) && (!is_extra || !is_busy(round, t));
-        let mut best: Option<Weighed> = None;
-        for target in round.targets.iter().filter(has_room) {
+        let mut best: Option<CostedPlacement> = None;
+        for target in round.targets.iter().filter(is_eligible) {
             let tier = Tier::of(target, model);
-            if tier == Tier::Remote && !remote_allowed {
+            if tier == Tier::Remote && !is_remote_load_allowed {
                 continue;
             }
-            let most = best.as_ref().map_or(f64::INFINITY, |best| best.cost);
-            best = self.weigh(round, queue, target, tier, about, most).or(best);
+            let max_cost = best.as_ref().map_or(f64::INFINITY, |best| best.cost);
+            best = self.evaluate(round, queue, target, tier, spec, max_cost).or(best);
         }
         Some(best?.placement)
     }
 
-    /// Weighs a load at a target; `None` if there is no way, or if it costs `most` seconds or more.
-    fn weigh(
+    /// Returns the placement of a load at a target; `None` if it is not possible there or costs
+    /// `max_cost` seconds or more.
+    fn evaluate(
         &self,
         round: &Round<'_>,
-        queue: &Queue,
+        queue: &QueueDelays,
         target: &Arc<Target>,
         tier: Tier,
-        about: &Model,
-        most: f64,
-    ) -> Option<Weighed> {
-        let takes = tier.load_time(about);
+        spec: &Model,
+        max_cost: f64,
+    ) -> Option<CostedPlacement> {
+        let load_time = tier.load_time(spec);
         let free_in = self.free_in(round, queue, &target.name);
-        let delays = self.delays(round, &target.name, takes);
-        let least = free_in.unwrap_or_default() + STEP_SPAN + takes;
-        if least.as_secs_f64() + delays >= most {
+        let queueing_cost_s = self.queueing_cost_s(round, &target.name, load_time);
+        let min_ready_in = free_in.unwrap_or_default() + ORDER_OVERHEAD + load_time;
+        if min_ready_in.as_secs_f64() + queueing_cost_s >= max_cost {
             return None;
         }
-        let way = self.make_way(round, target, about)?;
-        let steps = STEP_SPAN * (way.victims.len() as u32 + 1);
-        let waits = free_in.unwrap_or_default().max(Duration::from_secs_f64(way.wait_s));
-        let ready_in = waits + steps + takes;
-        let cost = ready_in.as_secs_f64() + way.loss_s + delays;
-        if cost >= most {
+        let eviction = self.choose_eviction(round, target, spec)?;
+        let overhead = ORDER_OVERHEAD * (eviction.victims.len() as u32 + 1);
+        let wait = free_in.unwrap_or_default().max(Duration::from_secs_f64(eviction.wait_s));
+        let ready_in = wait + overhead + load_time;
+        let cost = ready_in.as_secs_f64() + eviction.loss_s + queueing_cost_s;
+        if cost >= max_cost {
             return None;
         }
-        let is_free = free_in.is_none() && way.wait_s == 0.0;
-        let task = is_free.then(|| load_task(target, way.victims, about, tier));
-        Some(Weighed { cost, placement: Placement { target: target.name.clone(), ready_in, task } })
+        let is_free = free_in.is_none() && eviction.wait_s == 0.0;
+        let task = is_free.then(|| load_task(target, eviction.victims, spec, tier));
+        Some(CostedPlacement {
+            cost,
+            placement: Placement { target: target.name.clone(), ready_in, task },
+        })
     }
 
-    /// Returns how long other loads have to wait for one that takes `takes` at a target, summed up
-    /// in seconds: those that come meanwhile wait for half of it. A load from the weight store
-    /// keeps a target from a dozen loads from disk: 0.018 of worth, rare requests in time 0.71 to
-    /// 0.76 over 30 days (docs/ACCOUNT.md).
-    fn delays(&self, round: &Round<'_>, target: &TargetName, takes: Duration) -> f64 {
-        let loads = self.near.get(target).map_or(0.0, |near| near.at(round.scope.now));
-        let takes = takes.as_secs_f64();
-        loads * takes * takes / 2.0
+    /// Returns the total delay, in seconds, that a load of duration `load_time` at a target causes
+    /// for other loads: those that arrive meanwhile wait for half of it on average. A load from the
+    /// weight store occupies a target for as long as a dozen loads from disk. Ignoring this delay
+    /// costs 0.018 of the requests' worth and lowers the share of rare requests in time from 0.76
+    /// to 0.71.
+    fn queueing_cost_s(&self, round: &Round<'_>, target: &TargetName, load_time: Duration) -> f64 {
+        let loads_per_s =
+            self.local_loads.get(target).map_or(0.0, |loads| loads.rate_at(round.scope.now));
+        let load_time_s = load_time.as_secs_f64();
+        loads_per_s * load_time_s * load_time_s / 2.0
     }
 
-    /// Returns when a target should be done with its task and those that wait for it, or may have
-    /// one again after a failure or another planner's orders; `None` if it is free.
-    fn free_in(&self, round: &Round<'_>, queue: &Queue, target: &TargetName) -> Option<Duration> {
+    /// Returns when a target should be done with its task and queued loads, or accepts one again
+    /// after a failure or a cooldown; `None` if it is free.
+    fn free_in(
+        &self,
+        round: &Round<'_>,
+        queue: &QueueDelays,
+        target: &TargetName,
+    ) -> Option<Duration> {
         let now = round.scope.now;
-        let pending = self.pending.get(target).map(|p| p.done_at.since(now).max(OVERDUE_SPAN));
+        let pending =
+            self.pending.get(target).map(|p| p.done_at.since(now).max(OVERDUE_TASK_REMAINING));
         let blocked = self.blocked.get(target).map(|until| until.since(now));
-        pending.max(blocked).max(round.rests_for(target)).max(queue.get(target).copied())
+        pending.max(blocked).max(round.cooldown(target)).max(queue.get(target).copied())
     }
 
-    /// Chooses what makes way on `target` for `about` at the least cost.
-    fn make_way(&self, round: &Round<'_>, target: &Target, about: &Model) -> Option<Way> {
+    /// Selects the models to evict from `target` for `spec` at the lowest cost.
+    fn choose_eviction(
+        &self,
+        round: &Round<'_>,
+        target: &Target,
+        spec: &Model,
+    ) -> Option<Eviction> {
         let engine = round.scope.engine;
-        let free = engine.memory_mb - used_mb(engine, target);
+        let free_mb = engine.memory_mb - used_mb(engine, target);
         let victims =
             target.models.iter().filter_map(|held| self.victim(round, target, &held.model));
-        way::cheapest(about.memory_mb - free, victims.collect())
+        way::cheapest(spec.memory_mb - free_mb, victims.collect())
     }
 
-    /// Returns what removing a model from a target frees and loses; `None` if it must stay.
+    /// Returns what the eviction of a model from a target frees and costs; `None` if the model must
+    /// stay.
     fn victim(&self, round: &Round<'_>, target: &Target, model: &ModelName) -> Option<Victim> {
         let view = round.model(model);
-        let place = (target.name.clone(), model.clone());
-        if self.settling.contains_key(&place) || (view.copies <= 1 && view.waiting > 0) {
+        let copy = (target.name.clone(), model.clone());
+        if self.settling.contains_key(&copy) || (view.copies <= 1 && view.waiting > 0) {
             return None;
         }
         let is_in_use = round.in_flight(&target.name, model) > 0;
@@ -148,40 +166,41 @@
             if view.copies > needed_copies(round, &view) { SPARE_COPY_WEIGHT } else { 1.0 };
         Some(Victim {
             model: model.clone(),
-            frees_mb: held_mb(round.scope.engine, target, model),
-            loss_s: view.rate * RATE_WEIGHT_S * weight,
+            frees_mb: model_mb(round.scope.engine, target, model),
+            loss_s: view.rate * EVICTION_LOSS_S * weight,
             wait_s,
         })
     }
 
     /// Counts a load from the weight store that is about to be ordered.
     pub fn remote_begins(&mut self, now: Time) {
-        self.remote.retain(|at| now.since(*at) < REMOTE_WINDOW);
-        self.remote.push_back(now);
+        self.remote_loads.retain(|at| now.since(*at) < REMOTE_WINDOW);
+        self.remote_loads.push_back(now);
     }
 
-    fn remote_allowed(&self, round: &Round<'_>) -> bool {
-        if self.pending.values().filter(|p| p.is_remote).count() >= REMOTE_AT_ONCE {
+    fn is_remote_load_allowed(&self, round: &Round<'_>) -> bool {
+        if self.pending.values().filter(|p| p.is_remote).count() >= MAX_CONCURRENT_REMOTE_LOADS {
             return false;
         }
-        let since = |at: &&Time| round.scope.now.since(**at) < REMOTE_WINDOW;
-        let begun = self.remote.iter().filter(since).count();
-        let most = round.scope.engine.loads_per_s * REMOTE_WINDOW.as_secs_f64() * REMOTE_SHARE;
-        (begun as f64) < most.floor().max(1.0)
+        let is_recent = |at: &&Time| round.scope.now.since(**at) < REMOTE_WINDOW;
+        let started = self.remote_loads.iter().filter(is_recent).count();
+        let max_loads =
+            round.scope.engine.loads_per_s * REMOTE_WINDOW.as_secs_f64() * REMOTE_LOAD_SHARE;
+        (started as f64) < max_loads.floor().max(1.0)
     }
 }
 
-/// Tells whether a target has so much to do that no copy is added there.
+/// Returns whether a target is so busy that no copy is added there.
 fn is_busy(round: &Round<'_>, target: &Target) -> bool {
-    let most = BUSY_SHARE * f64::from(round.scope.engine.slots);
-    f64::from(round.in_flight_at(&target.name)) > most
+    let max_in_flight = BUSY_SLOT_SHARE * f64::from(round.scope.engine.slots);
+    f64::from(round.in_flight_at(&target.name)) > max_in_flight
 }
 
-fn load_task(target: &Arc<Target>, victims: Vec<ModelName>, about: &Model, tier: Tier) -> Task {
-    let removal =
+fn load_task(target: &Arc<Target>, victims: Vec<ModelName>, spec: &Model, tier: Tier) -> Task {
+    let remove =
         |model| Step { action: Action::Remove { model, adapter: None }, takes: Duration::ZERO };
-    let mut steps: Vec<Step> = victims.into_iter().map(removal).collect();
-    let action = Action::Load { model: about.name.clone(), adapter: None };
-    steps.push(Step { action, takes: tier.load_time(about) });
+    let mut steps: Vec<Step> = victims.into_iter().map(remove).collect();
+    let action = Action::Load { model: spec.name.clone(), adapter: None };
+    steps.push(Step { action, takes: tier.load_time(spec) });
     Task { target: Arc::clone(target), steps }
 }
--- a/crates/tansyknot-fleet/src/plan/round.rs
+++ b/crates/tansyknot-fleet/src/plan/round.rs
@@ -1,4 +1,5 @@
-//! The view that one round of planning works on, summed up once so that no model costs a pass.
+//! The state that one planning round works on, aggregated once so that no model needs a pass of its
+//! own.
 
 use std::{collections::HashMap, ops::RangeInclusive, sync::Arc, time::Duration};
 
@@ -7,21 +8,21 @@
     name::{ModelName, ServiceName, TargetName},
 };
 
-use super::{Planner, STEP_SPAN};
+use super::{ORDER_OVERHEAD, Planner};
 use crate::{catalog::Engine, target::Target};
 
-/// What is asked of one model, and where it is.
+/// The demand for one model, and its copies.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ModelView {
-    /// Requests that wait for the model alone.
+    /// Requests that wait for the model without an adapter.
     pub(super) waiting: u32,
     /// Requests that wait for one of its adapters.
     pub(super) adapters_waiting: u32,
     /// Requests that wait for the model or an adapter and can still be on time.
     pub(super) on_time: u32,
-    /// How long the first of all that wait has waited.
-    pub(super) waited: Duration,
-    /// Arrivals a second.
+    /// How long the oldest waiting request has waited.
+    pub(super) longest_wait: Duration,
+    /// Arrivals per second.
     pub(super) rate: f64,
     /// Requests at targets.
     pub(super) in_flight: u32,
@@ -30,8 +31,8 @@
 }
 
 impl ModelView {
-    /// Returns the requests that wait for the model, those for an adapter with them: they wait for
-    /// the model as well while it is nowhere.
+    /// Returns the number of requests that wait for the model or one of its adapters, as the latter
+    /// also wait for the model while no target holds it.
     pub(super) fn all_waiting(&self) -> u32 {
         self.waiting + self.adapters_waiting
     }
@@ -48,48 +49,53 @@
 }
 
 impl Scope<'_> {
-    /// Returns how long a request may wait for a model before a load from disk is too late for it
-    /// to be on time.
-    fn fresh_for(&self, model: &ModelName) -> Duration {
-        let load = self.engine.models.get(model).map_or(Duration::ZERO, |about| about.load_disk);
-        self.objective.saturating_sub(load + STEP_SPAN)
+    /// Returns how long a request may have waited for a model and still be on time after a load
+    /// from disk.
+    fn max_on_time_wait(&self, model: &ModelName) -> Duration {
+        let load = self.engine.models.get(model).map_or(Duration::ZERO, |spec| spec.load_disk);
+        self.objective.saturating_sub(load + ORDER_OVERHEAD)
     }
 }
 
-/// A target that can be reached, and from when it may be ordered.
+/// A target that can be reached, and from when orders may be sent to it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Reached<'a> {
+pub(super) struct ReachableTarget<'a> {
     pub(super) target: &'a Arc<Target>,
     pub(super) opens_at: Time,
 }
 
-/// The view that one round of planning works on.
+/// The state that one planning round works on.
 #[derive(Debug)]
 pub(super) struct Round<'a> {
     pub(super) scope: Scope<'a>,
     pub(super) targets: Vec<&'a Arc<Target>>,
-    /// From when those targets may be ordered that may not now.
-    rests: HashMap<TargetName, Time>,
+    /// When the cooldowns of targets end that may not receive orders now.
+    cooldowns: HashMap<TargetName, Time>,
     models: HashMap<ModelName, ModelView>,
     in_flight: HashMap<(TargetName, ModelName), u32>,
     in_flight_at: HashMap<TargetName, u32>,
-    /// How long a request is at a target, in seconds: requests there for each one a second.
-    stay_s: f64,
+    /// The mean time that a request spends at a target, in seconds: requests at targets divided by
+    /// arrivals per second.
+    request_time_s: f64,
 }
 
-/// Bounds on what is taken for the stay of a request at a target, in seconds, as few requests
-/// make a poor mean. Rare requests of the users' sites take 0.2 to 1.5 s.
-const STAY_S: RangeInclusive<f64> = 0.3..=3.0;
-/// A model whose requests should keep it in use for longer than this, in seconds, is not waited
-/// for: a load from the weight store elsewhere takes no longer.
-const IDLE_MOST_S: f64 = 4.0;
+/// Bounds on the mean time that a request spends at a target, in seconds, as the mean of a few
+/// requests is unreliable. Rare requests take 0.2 to 1.5 s.
+const REQUEST_TIME_BOUNDS_S: RangeInclusive<f64> = 0.3..=3.0;
+/// The longest time, in seconds, to wait for a model to become idle. A load from the weight store
+/// at another target takes no longer.
+const MAX_IDLE_WAIT_S: f64 = 4.0;
 
 impl<'a> Round<'a> {
-    /// Sums up what the planner knows of the service's models and the targets that can be reached.
-    pub(super) fn new(planner: &Planner, scope: Scope<'a>, reached: &[Reached<'a>]) -> Self {
-        let resting = reached.iter().filter(|r| scope.now < r.opens_at);
-        let rests = resting.map(|r| (r.target.name.clone(), r.opens_at)).collect();
-        let targets: Vec<&Arc<Target>> = reached.iter().map(|r| r.target).collect();
+    /// Aggregates the demand for the service's models and the targets that can be reached.
+    pub(super) fn new(
+        planner: &Planner,
+        scope: Scope<'a>,
+        reachable: &[ReachableTarget<'a>],
+    ) -> Self {
+        let cooling_down = reachable.iter().filter(|r| scope.now < r.opens_at);
+        let cooldowns = cooling_down.map(|r| (r.target.name.clone(), r.opens_at)).collect();
+        let targets: Vec<&Arc<Target>> = reachable.iter().map(|r| r.target).collect();
         let mut models: HashMap<ModelName, ModelView> = HashMap::new();
         for ((service, model, adapter), demand) in &planner.demand {
             if service != scope.service {
@@ -102,8 +108,8 @@
                 view.waiting += demand.waiting();
                 view.rate += demand.rate_at(scope.now);
             }
-            view.on_time += demand.waiting_within(scope.fresh_for(model), scope.now);
-            view.waited = view.waited.max(demand.waited(scope.now));
+            view.on_time += demand.waiting_within(scope.max_on_time_wait(model), scope.now);
+            view.longest_wait = view.longest_wait.max(demand.longest_wait(scope.now));
         }
         for held in targets.iter().flat_map(|t| &t.models) {
             models.entry(held.model.clone()).or_default().copies += 1;
@@ -118,41 +124,47 @@
             models.entry(model.clone()).or_default().in_flight += count;
         }
         let rate: f64 = models.values().map(|view| view.rate).sum();
-        let there: u32 = in_flight_at.values().sum();
-        let stay = f64::from(there) / rate.max(f64::MIN_POSITIVE);
-        let stay_s = stay.clamp(*STAY_S.start(), *STAY_S.end());
-        Self { scope, targets, rests, models, in_flight, in_flight_at, stay_s }
+        let total_in_flight: u32 = in_flight_at.values().sum();
+        let mean_s = f64::from(total_in_flight) / rate.max(f64::MIN_POSITIVE);
+        let request_time_s =
+            mean_s.clamp(*REQUEST_TIME_BOUNDS_S.start(), *REQUEST_TIME_BOUNDS_S.end());
+        Self { scope, targets, cooldowns, models, in_flight, in_flight_at, request_time_s }
     }
 
-    /// Returns how long a copy that is in use should be so, in seconds: the busy period of a
-    /// queue that serves all at once. `None` if that is too long to be waited for.
+    /// Returns how long a copy that is in use should stay so, in seconds: the busy period of a
+    /// queue that serves all requests at once (M/G/∞). `None` if that is too long to wait for.
     pub(super) fn idle_in_s(&self, view: &ModelView) -> Option<f64> {
         let rate = view.rate / view.copies.max(1) as f64;
-        let busy = if rate > 0.0 { (rate * self.stay_s).exp_m1() / rate } else { self.stay_s };
-        (busy < IDLE_MOST_S).then_some(busy)
+        let busy_s = if rate > 0.0 {
+            (rate * self.request_time_s).exp_m1() / rate
+        } else {
+            self.request_time_s
+        };
+        (busy_s < MAX_IDLE_WAIT_S).then_some(busy_s)
     }
 
-    /// Returns the models of the engine that are asked for or held.
+    /// Returns the models of the engine that are requested or loaded.
     pub(super) fn models(&self) -> impl Iterator<Item = (&ModelName, &ModelView)> {
         self.models.iter().filter(|(model, _)| self.scope.engine.models.contains_key(*model))
     }
 
-    /// Returns what is asked of a model; nothing if nobody asks for it.
+    /// Returns the demand for a model and its copies; zero for a model that is neither requested
+    /// nor loaded.
     pub(super) fn model(&self, model: &ModelName) -> ModelView {
         self.models.get(model).copied().unwrap_or_default()
     }
 
-    /// Returns the requests for a model at a target.
+    /// Returns the number of requests for a model at a target.
     pub(super) fn in_flight(&self, target: &TargetName, model: &ModelName) -> u32 {
         self.in_flight.get(&(target.clone(), model.clone())).copied().unwrap_or(0)
     }
 
-    /// Returns how long a target may not be ordered yet; `None` if it may.
-    pub(super) fn rests_for(&self, target: &TargetName) -> Option<Duration> {
-        self.rests.get(target).map(|at| at.since(self.scope.now))
+    /// Returns the remaining cooldown of a target; `None` if orders may be sent to it.
+    pub(super) fn cooldown(&self, target: &TargetName) -> Option<Duration> {
+        self.cooldowns.get(target).map(|at| at.since(self.scope.now))
     }
 
-    /// Returns the requests for models at a target.
+    /// Returns the number of requests for models at a target.
     pub(super) fn in_flight_at(&self, target: &TargetName) -> u32 {
         self.in_flight_at.get(target).copied().unwrap_or(0)
     }
--- a/crates/tansyknot-fleet/src/plan/tier.rs
+++ b/crates/tansyknot-fleet/src/plan/tier.rs
@@ -1,4 +1,4 @@
-//! Where the weights of a model lie.
+//! The storage tiers of model weights.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::{catalog::Model, target::Target};
 
-/// Where the weights of a model lie, as seen from a target.
+/// The nearest storage from which a target can load the weights of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tier {
     /// In the target's main memory.
@@ -18,7 +18,7 @@
 }
 
 impl Tier {
-    /// Returns where the weights of `model` lie for `target`.
+    /// Returns the nearest storage from which `target` can load `model`.
     pub fn of(target: &Target, model: &ModelName) -> Self {
         if target.in_memory.contains(model) {
             Tier::Memory
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns how long the load of `model` takes.
+    /// Returns how long a load of `model` takes from this storage.
     pub fn load_time(self, model: &Model) -> Duration {
         match self {
             Tier::Memory => model.load_memory,
--- a/crates/tansyknot-fleet/src/plan/way.rs
+++ b/crates/tansyknot-fleet/src/plan/way.rs
@@ -1,19 +1,20 @@
-//! What makes way for a load: the set of models whose removal costs least.
+//! Selects the models that are evicted for a load: the set with the lowest cost.
 
 use tansyknot_core::name::ModelName;
 
-/// What a removal costs in seconds, beside what is lost with the model: it takes some 70 ms.
-const EVICT_S: f64 = 0.15;
-/// Models of a target that are weighed, those of the least cost; every set of them is looked at.
-const WEIGHED_MOST: usize = 8;
+/// The cost of an eviction in seconds, in addition to the loss of the model: it takes about 70 ms.
+const EVICTION_OVERHEAD_S: f64 = 0.15;
+/// The number of models of a target that are considered, those of the lowest cost; every subset of
+/// them is evaluated.
+const MAX_VICTIM_CANDIDATES: usize = 8;
 
-/// A model that may be removed from a target.
+/// A model that may be evicted from a target.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Victim {
     pub(super) model: ModelName,
-    /// Memory that its removal frees, in MB.
+    /// Memory that its eviction frees, in MB.
     pub(super) frees_mb: f64,
-    /// What is lost with it, in seconds of load time.
+    /// The cost of losing it, in seconds of load time.
     pub(super) loss_s: f64,
     /// How long its requests should still run, in seconds.
     pub(super) wait_s: f64,
@@ -21,31 +22,32 @@
 
 impl Victim {
     fn cost(&self) -> f64 {
-        self.loss_s + self.wait_s + EVICT_S
+        self.loss_s + self.wait_s + EVICTION_OVERHEAD_S
     }
 }
 
-/// What makes way.
+/// The models to evict, and what that costs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Way {
+pub(super) struct Eviction {
     pub(super) victims: Vec<ModelName>,
-    /// What is lost with them and their removals take, in seconds.
+    /// The cost of losing them and of their evictions, in seconds.
     pub(super) loss_s: f64,
-    /// How long the last of them is in use, in seconds.
+    /// How long the last of them stays in use, in seconds.
     pub(super) wait_s: f64,
 }
 
-/// Returns the cheapest set of victims that frees `lacks_mb`; `None` if all together do not.
-pub(super) fn cheapest(lacks_mb: f64, mut victims: Vec<Victim>) -> Option<Way> {
-    if lacks_mb <= 0.0 {
-        return Some(Way::default());
+/// Returns the cheapest set of victims that frees `needed_mb`; `None` if no set of the considered
+/// victims does.
+pub(super) fn cheapest(needed_mb: f64, mut victims: Vec<Victim>) -> Option<Eviction> {
+    if needed_mb <= 0.0 {
+        return Some(Eviction::default());
     }
     victims.sort_by(|a, b| a.cost().total_cmp(&b.cost()));
-    victims.truncate(WEIGHED_MOST);
+    victims.truncate(MAX_VICTIM_CANDIDATES);
     let sets = 1..1_u32 << victims.len();
-    let costs = sets.filter_map(|set| Some((cost(lacks_mb, &victims, set)?, set)));
+    let costs = sets.filter_map(|set| Some((cost(needed_mb, &victims, set)?, set)));
     let (_, set) = costs.min_by(|a, b| a.0.total_cmp(&b.0))?;
-    Some(way(&victims, set))
+    Some(eviction(&victims, set))
 }
 
 /// Returns the victims whose bits are in `set`.
@@ -53,22 +55,22 @@
     victims.iter().enumerate().filter(move |(i, _)| set & (1 << i) != 0).map(|(_, v)| v)
 }
 
-/// Returns what a set costs in seconds; `None` if it does not free enough.
-fn cost(lacks_mb: f64, victims: &[Victim], set: u32) -> Option<f64> {
+/// Returns the cost of a set in seconds; `None` if the set does not free enough memory.
+fn cost(needed_mb: f64, victims: &[Victim], set: u32) -> Option<f64> {
     let frees_mb: f64 = chosen(victims, set).map(|v| v.frees_mb).sum();
-    (frees_mb >= lacks_mb).then(|| loss_s(victims, set) + wait_s(victims, set))
+    (frees_mb >= needed_mb).then(|| loss_s(victims, set) + wait_s(victims, set))
 }
 
 fn loss_s(victims: &[Victim], set: u32) -> f64 {
-    chosen(victims, set).map(|v| v.loss_s + EVICT_S).sum()
+    chosen(victims, set).map(|v| v.loss_s + EVICTION_OVERHEAD_S).sum()
 }
 
 fn wait_s(victims: &[Victim], set: u32) -> f64 {
     chosen(victims, set).map(|v| v.wait_s).fold(0.0, f64::max)
 }
 
-fn way(victims: &[Victim], set: u32) -> Way {
-    Way {
+fn eviction(victims: &[Victim], set: u32) -> Eviction {
+    Eviction {
         victims: chosen(victims, set).map(|v| v.model.clone()).collect(),
         loss_s: loss_s(victims, set),
         wait_s: wait_s(victims, set),
