--- a/crates/tansyknot-fleet/src/keep.rs
+++ b/crates/tansyknot-fleet/src/keep.rs
@@ -1,4 +1,5 @@
-//! Keeps the planner's lease: renews it, watches its holder, and takes it when the holder is gone.
+//! Maintains the planner's lease: renews it, monitors its holder, and takes it over when the holder
+//! is gone.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,51 +11,53 @@
 
 use crate::{
     backoff::Backoff,
-    lease::{self, Claim, Holder, Lease, LeaseOptions, RENEW_EVERY},
+    lease::{self, Claim, Holder, Lease, LeaseOptions, RENEW_INTERVAL},
     outside::{OwnRow, PeerAddress, RowName, Store, Written},
     state::State,
 };
 
-/// A planner heard of this long ago is looked for in the store.
-const SILENCE: Duration = Duration::from_millis(800);
-/// How often the row is read while the planner is silent.
-const LOOK_EVERY: Duration = Duration::from_millis(350);
-/// How much later than the one before each daemon looks for a silent planner: a reading of the row
-/// takes some 4 ms, and whoever finds the row free takes it and tells all within a beat.
-const LOOK_STEP: Duration = Duration::from_millis(100);
-/// The longest that a daemon leaves a silent planner to others: all may have lost it but this one.
-const LOOK_TURN_MOST: Duration = Duration::from_secs(3);
-/// The longest pause between calls that the store does not answer.
-const PAUSE_MOST: Duration = Duration::from_millis(1000);
-/// How often the planner's messages are looked for.
-const IDLE: Duration = Duration::from_millis(200);
-/// How soon a renewal without an answer is tried again.
-const RETRY: Duration = Duration::from_millis(150);
-
-/// The lease as this daemon's threads share it.
+/// A daemon reads the lease row once it has received no message from the planner for this long.
+const PLANNER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval between reads of the row while the planner is unresponsive.
+const ROW_POLL_INTERVAL: Duration = Duration::from_millis(350);
+/// Delay between one daemon's first read of the row and the next daemon's once the planner is
+/// unresponsive. A read takes about 4 ms, and the daemon that finds the row free takes it over and
+/// informs all others within one heartbeat interval.
+const ROW_POLL_STAGGER: Duration = Duration::from_millis(100);
+/// Upper bound of the sum of these delays: the daemons ahead of this one may all be unable to read
+/// the row.
+const MAX_ROW_POLL_STAGGER: Duration = Duration::from_secs(3);
+/// Maximum delay between calls while the store does not respond.
+const MAX_STORE_BACKOFF: Duration = Duration::from_millis(1000);
+/// Maximum interval between checks for the planner's last message.
+const PLANNER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Initial delay before a failed renewal is retried.
+const MIN_RENEWAL_BACKOFF: Duration = Duration::from_millis(150);
+
+/// The lease and the last status of the planner, shared by this daemon's threads.
 #[derive(Debug, Default)]
 pub struct SharedLease {
     lease: Mutex<Lease>,
-    heard: Mutex<Option<Heard>>,
+    last_message: Mutex<Option<LastMessage>>,
 }
 
-/// The planner that was heard last.
+/// The last message of a planner, and when it arrived.
 #[derive(Clone, Debug)]
-struct Heard {
-    told: Told,
+struct LastMessage {
+    status: Told,
     at: Time,
 }
 
-/// What a planner says of itself.
+/// The status that a planner publishes of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Told {
     /// Its fencing token.
     pub fence: u64,
     /// Its name.
     pub daemon: Arc<str>,
-    /// Where demand reaches it.
+    /// The address to which daemons report demand.
     pub address: PeerAddress,
-    /// The version of the row that it wrote last.
+    /// The version of the row after its last write.
     pub version: u64,
     /// When it sent that write.
     pub sent: Time,
@@ -65,124 +68,132 @@
         self.lease.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns the fencing token if this daemon may order `target` now.
+    /// Returns the fencing token if this daemon may send orders to `target` now.
     pub fn may_order(&self, target: &TargetName, now: Time) -> Option<u64> {
         self.lease().may_order(target, now)
     }
 
-    /// Tells whether this daemon could order `target` if the row named it.
-    pub fn is_open(&self, target: &TargetName, now: Time) -> bool {
-        self.lease().is_open(target, now)
+    /// Returns whether this daemon is the planner and the cooldown of `target` is over.
+    pub fn is_cooldown_over(&self, target: &TargetName, now: Time) -> bool {
+        self.lease().is_cooldown_over(target, now)
     }
 
-    /// Returns from when this daemon could order `target`; `None` if it is not the planner.
+    /// Returns when the cooldown of `target` ends; `None` if this daemon is not the planner.
     pub fn opens_at(&self, target: &TargetName, now: Time) -> Option<Time> {
-        self.lease().opens_at(target, now)
+        self.lease().cooldown_end(target, now)
     }
 
-    /// Notes that this daemon orders `target` now.
+    /// Records that this daemon sends an order to `target` now.
     pub fn ordered(&self, target: &TargetName, now: Time) {
-        self.lease().ordered(target, now);
+        self.lease().record_order(target, now);
     }
 
-    /// Tells whether this daemon is the planner for now.
+    /// Returns whether this daemon holds a valid lease at `now`.
     pub fn is_valid(&self, now: Time) -> bool {
         self.lease().is_valid(now)
     }
 
-    /// Returns the row's version and when this daemon wrote it.
+    /// Returns the row's version and when this daemon sent its last renewal; `None` if it does not
+    /// hold the lease.
     pub fn renewed(&self) -> Option<(u64, Time)> {
         self.lease().renewed()
     }
 
-    /// Tells whether this daemon holds the lease, as far as it knows.
+    /// Returns whether this daemon wrote the row last, according to its own view.
     pub fn is_mine(&self) -> bool {
         self.lease().is_mine()
     }
 
-    fn heard(&self) -> MutexGuard<'_, Option<Heard>> {
-        self.heard.lock().expect("no holder of the lock panics")
+    fn last_message(&self) -> MutexGuard<'_, Option<LastMessage>> {
+        self.last_message.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns the daemon and address of the newest planner known: the one that the row names, or
-    /// one that has taken the row since it was read here.
+    /// Returns the name and address of the newest known planner: the one that the row names, or one
+    /// that has taken the row over since this daemon last read it.
     pub fn planner(&self) -> Option<(Arc<str>, PeerAddress)> {
         let row = self.row_fence();
-        let heard = self.heard().as_ref().map(|h| h.told.clone()).filter(|told| told.fence > row);
-        if let Some(told) = heard {
-            return Some((told.daemon, told.address));
+        let newer = self
+            .last_message()
+            .as_ref()
+            .map(|m| m.status.clone())
+            .filter(|status| status.fence > row);
+        if let Some(status) = newer {
+            return Some((status.daemon, status.address));
         }
         let lease = self.lease();
         lease.holder().map(|h| (Arc::clone(&h.daemon), h.address))
     }
 
-    /// Returns the fencing token of the newest planner known.
+    /// Returns the fencing token of the newest known planner.
     pub fn fence(&self) -> u64 {
-        let heard = self.heard().as_ref().map_or(0, |h| h.told.fence);
-        heard.max(self.row_fence())
+        let received = self.last_message().as_ref().map_or(0, |m| m.status.fence);
+        received.max(self.row_fence())
     }
 
-    /// Returns the fencing token that the row names.
+    /// Returns the fencing token of the row.
     fn row_fence(&self) -> u64 {
         self.lease().holder().map_or(0, |h| h.fence)
     }
 
-    /// Takes in a message of a planner; tells whether it is the newest planner known.
+    /// Records a message of a planner; returns whether that is the newest known planner.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
-    pub fn hear(&self, told: Told, now: Time) -> bool {
-        let mut heard = self.heard();
-        let is_older = heard.as_ref().is_some_and(|h| h.told.fence > told.fence);
-        if is_older || told.fence < self.row_fence() {
+    /// Panics if the lock is poisoned.
+    pub fn hear(&self, status: Told, now: Time) -> bool {
+        let mut last = self.last_message();
+        let is_older = last.as_ref().is_some_and(|m| m.status.fence > status.fence);
+        if is_older || status.fence < self.row_fence() {
             return false;
         }
-        self.lease().told(told.fence, told.version, told.sent);
-        *heard = Some(Heard { told, at: now });
+        self.lease().record_renewal(status.fence, status.version, status.sent);
+        *last = Some(LastMessage { status, at: now });
         true
     }
 
-    /// Takes in what the last planner heard has said of the row, which has been read since.
-    fn recall(&self) {
-        if let Some(Heard { told, .. }) = self.heard().as_ref() {
-            self.lease().told(told.fence, told.version, told.sent);
+    /// Applies the planner's last status to the view of the row, which has been read since the
+    /// status arrived.
+    fn reapply_status(&self) {
+        if let Some(LastMessage { status, .. }) = self.last_message().as_ref() {
+            self.lease().record_renewal(status.fence, status.version, status.sent);
         }
     }
 
-    /// Returns for how long the newest planner known has been silent; `None` if it was never heard.
+    /// Returns the time since the last message of the newest known planner; `None` if it has sent
+    /// none.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn silent_for(&self, now: Time) -> Option<Duration> {
-        let (fence, at) = self.heard().as_ref().map(|h| (h.told.fence, h.at))?;
+        let (fence, at) = self.last_message().as_ref().map(|m| (m.status.fence, m.at))?;
         (fence >= self.row_fence()).then(|| now.since(at))
     }
 
-    /// Returns when another daemon may take the row that was read last, if it stays as it is.
-    fn free_at(&self) -> Option<Time> {
-        self.lease().free_at()
+    /// Returns when another daemon may take the row over if it stays unchanged.
+    fn free_from(&self) -> Option<Time> {
+        self.lease().free_from()
     }
 }
 
-/// Whether a daemon leaves the lease to others if it can: a planner needs a good link and
+/// Whether a daemon leaves the lease to others where possible: a planner needs a fast link and
 /// processor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reluctance {
-    /// It takes the lease as soon as it may.
+    /// The daemon takes the lease over as soon as it is free.
     #[default]
     None,
-    /// It takes the lease only if nobody else has for a while.
+    /// The daemon takes the lease over only if no other daemon has done so for a while.
     Reluctant,
 }
 
-/// How long a reluctant daemon leaves the lease to others: a look at the row and a claim each take
-/// some 0.5 s where the store takes 60 times its usual time. With 0.9 s a host of 0.12 cores and
-/// 20 Mbit/s took it among 295 on such a day, whose rounds took up to 171 ms instead of 18.
-const RELUCTANT_SPAN: Duration = Duration::from_millis(2000);
+/// How long a reluctant daemon leaves a free lease to others. A read of the row and a claim take
+/// about 0.5 s each when the store is 60 times slower than usual. With a delay of 0.9 s, a host
+/// with 0.12 cores and a link of 20 Mbit/s then became the planner of 295 daemons, and its rounds
+/// took up to 171 ms instead of 18 ms.
+const RELUCTANT_DELAY: Duration = Duration::from_millis(2000);
 
-/// Keeps the lease for one daemon.
+/// Maintains the lease for one daemon.
 pub struct Keeper {
     state: Arc<State>,
     store: Arc<dyn Store>,
@@ -190,19 +201,20 @@
     me: Holder,
     options: LeaseOptions,
     reluctance: Reluctance,
-    /// Since when the lease could be taken.
+    /// Since when the lease has been free.
     free_since: Mutex<Option<Time>>,
-    /// Pauses between renewals, and between looks, that the store does not answer.
-    renewals: Mutex<Backoff>,
-    looks: Mutex<Backoff>,
-    /// Held while the row is read or written, so that this daemon does one thing at a time to it.
-    calling: Mutex<()>,
-    /// Targets that the next write is to name.
-    wanted: Mutex<BTreeSet<TargetName>>,
+    /// Backoff between failed renewals.
+    renewal_backoff: Mutex<Backoff>,
+    /// Backoff between failed reads of the row.
+    poll_backoff: Mutex<Backoff>,
+    /// Held while the row is read or written, so that this daemon makes one call for it at a time.
+    row_access: Mutex<()>,
+    /// Targets that the next write of the row adds.
+    added_targets: Mutex<BTreeSet<TargetName>>,
 }
 
 impl Keeper {
-    /// Makes a keeper for the daemon that `me` describes.
+    /// Creates a keeper for the daemon that `me` describes.
     pub fn new(
         state: Arc<State>,
         store: Arc<dyn Store>,
@@ -219,79 +231,84 @@
             options,
             reluctance,
             free_since: Mutex::default(),
-            renewals: Mutex::new(Backoff::new(RETRY, PAUSE_MOST)),
-            looks: Mutex::new(Backoff::new(LOOK_EVERY, PAUSE_MOST)),
-            calling: Mutex::default(),
-            wanted: Mutex::default(),
+            renewal_backoff: Mutex::new(Backoff::new(MIN_RENEWAL_BACKOFF, MAX_STORE_BACKOFF)),
+            poll_backoff: Mutex::new(Backoff::new(ROW_POLL_INTERVAL, MAX_STORE_BACKOFF)),
+            row_access: Mutex::default(),
+            added_targets: Mutex::default(),
         }
     }
 
-    /// Renews, reads or takes the row, whichever is due; tells how long to pause.
+    /// Renews, reads or takes over the row, whichever is due; returns the delay before the next
+    /// step.
     pub fn step(&self) -> Duration {
         let now = self.state.now();
         if !self.shared.is_mine()
-            && let Some(left) = self.leaves_it_for(now)
+            && let Some(left) = self.poll_due_in(now)
         {
-            return left.min(IDLE);
+            return left.min(PLANNER_CHECK_INTERVAL);
         }
-        let _calling = self.calling();
+        let _row_access = self.row_access();
         if self.shared.is_mine() {
             let renewed = self.claim();
-            return pause(&self.renewals, renewed, RENEW_EVERY);
+            return pause(&self.renewal_backoff, renewed, RENEW_INTERVAL);
         }
-        let answered = self.look();
-        let pause = pause(&self.looks, answered, self.next_look(now));
-        if !answered {
+        let has_responded = self.poll_row();
+        let pause = pause(&self.poll_backoff, has_responded, self.next_poll_delay(now));
+        if !has_responded {
             return pause;
         }
-        if self.is_willing() {
+        if self.is_willing_to_take_over() {
             self.claim();
         }
-        if self.shared.is_mine() { RENEW_EVERY } else { pause }
+        if self.shared.is_mine() { RENEW_INTERVAL } else { pause }
     }
 
-    /// Returns for how long this daemon need not look at the row: it hears the planner, or others
-    /// look first where many have lost it. `None` if it is to look now.
-    fn leaves_it_for(&self, now: Time) -> Option<Duration> {
-        let silent = self.shared.silent_for(now)?;
+    /// Returns how long this daemon need not read the row, because the planner is responsive or
+    /// other daemons are to read the row first; `None` if the read is due now.
+    fn poll_due_in(&self, now: Time) -> Option<Duration> {
+        let elapsed = self.shared.silent_for(now)?;
         let before = self.state.peers().before(self.me.address, now);
-        let turn = LOOK_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
-        let left = (SILENCE + turn.min(LOOK_TURN_MOST)).saturating_sub(silent);
+        let stagger = ROW_POLL_STAGGER.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
+        let left = (PLANNER_TIMEOUT + stagger.min(MAX_ROW_POLL_STAGGER)).saturating_sub(elapsed);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Returns when to look at the row again: as soon as it may be taken, if that is sooner.
-    fn next_look(&self, now: Time) -> Duration {
-        let free_in = self.shared.free_at().map(|at| at.since(now));
-        free_in.filter(|span| !span.is_zero()).map_or(LOOK_EVERY, |span| span.min(LOOK_EVERY))
+    /// Returns the delay before the next read of the row: the poll interval, or less if the row
+    /// becomes free sooner.
+    fn next_poll_delay(&self, now: Time) -> Duration {
+        let free_in = self.shared.free_from().map(|at| at.since(now));
+        free_in
+            .filter(|delay| !delay.is_zero())
+            .map_or(ROW_POLL_INTERVAL, |delay| delay.min(ROW_POLL_INTERVAL))
     }
 
-    /// Tells whether this daemon takes the lease if it may.
-    fn is_willing(&self) -> bool {
+    /// Returns whether this daemon takes the lease over once it is free. A reluctant daemon waits
+    /// for [`RELUCTANT_DELAY`] first.
+    fn is_willing_to_take_over(&self) -> bool {
         if self.reluctance == Reluctance::None {
             return true;
         }
         let now = self.state.now();
         let none = BTreeSet::new();
-        let may = self.shared.lease().claim(&self.me, self.options, &none, now).is_some();
+        let is_free = self.shared.lease().claim(&self.me, self.options, &none, now).is_some();
         let mut since = self.free_since.lock().expect("no holder of the lock panics");
-        *since = may.then(|| since.unwrap_or(now));
-        since.is_some_and(|since| now.since(since) >= RELUCTANT_SPAN)
+        *since = is_free.then(|| since.unwrap_or(now));
+        since.is_some_and(|since| now.since(since) >= RELUCTANT_DELAY)
     }
 
-    /// Has the row name `target`, if this daemon is the planner; returns the fencing token if the
-    /// target may be ordered then.
+    /// Adds `target` to the row if this daemon is the planner; returns the fencing token if this
+    /// daemon may then send orders to the target.
     pub fn cover(&self, target: &TargetName) -> Option<u64> {
         let fence = self.shared.may_order(target, self.state.now());
         if fence.is_some() {
             return fence;
         }
-        if !self.shared.is_open(target, self.state.now()) {
+        if !self.shared.is_cooldown_over(target, self.state.now()) {
             return None;
         }
-        self.wanted().insert(target.clone());
-        let _calling = self.calling();
-        // Another task's write may have named this target too.
+        self.added_targets().insert(target.clone());
+        let _row_access = self.row_access();
+        // The write of another task may have added this target as well.
         let fence = self.shared.may_order(target, self.state.now());
         if fence.is_none() && self.shared.is_mine() {
             self.claim();
@@ -299,29 +316,29 @@
         self.shared.may_order(target, self.state.now())
     }
 
-    fn calling(&self) -> MutexGuard<'_, ()> {
-        self.calling.lock().expect("no holder of the lock panics")
+    fn row_access(&self) -> MutexGuard<'_, ()> {
+        self.row_access.lock().expect("no holder of the lock panics")
     }
 
-    fn wanted(&self) -> MutexGuard<'_, BTreeSet<TargetName>> {
-        self.wanted.lock().expect("no holder of the lock panics")
+    fn added_targets(&self) -> MutexGuard<'_, BTreeSet<TargetName>> {
+        self.added_targets.lock().expect("no holder of the lock panics")
     }
 
-    /// Makes the claim that this daemon may make now; tells whether it took effect.
+    /// Makes the claim that this daemon may make now, if any; returns whether it succeeded.
     fn claim(&self) -> bool {
         let now = self.state.now();
-        let targets = std::mem::take(&mut *self.wanted());
+        let targets = std::mem::take(&mut *self.added_targets());
         let claim = self.shared.lease().claim(&self.me, self.options, &targets, now);
         claim.is_some_and(|claim| self.write(claim))
     }
 
-    /// Reads the row; tells whether the store answered.
-    fn look(&self) -> bool {
+    /// Reads the row; returns whether the store responded.
+    fn poll_row(&self) -> bool {
         let result = self.store.row(RowName::Planner);
         let now = self.state.now();
         match result {
             Ok(row) => {
-                self.take_in(row, now);
+                self.record_row(row, now);
                 true
             }
             Err(e) => {
@@ -331,14 +348,14 @@
         }
     }
 
-    fn take_in(&self, row: Option<OwnRow>, now: Time) {
+    fn record_row(&self, row: Option<OwnRow>, now: Time) {
         let before = self.shared.planner();
         let (holder, version) = match row {
             Some(row) => (Some(decode(&row, self.options)), row.version),
             None => (None, 0),
         };
-        self.shared.lease().read(holder, version, now, &self.me.incarnation);
-        self.shared.recall();
+        self.shared.lease().record_row(holder, version, now, &self.me.incarnation);
+        self.shared.reapply_status();
         let after = self.shared.planner();
         if before != after
             && let Some((daemon, address)) = after
@@ -347,12 +364,12 @@
         }
     }
 
-    /// Writes a claim; tells whether it took effect.
+    /// Writes a claim; returns whether it succeeded.
     fn write(&self, claim: Claim) -> bool {
         let was_mine = self.shared.is_mine();
         let fence = claim.holder.fence;
         let value = encode(&claim.holder);
-        let result = self.store.write_row(RowName::Planner, claim.expected, &value);
+        let result = self.store.write_row(RowName::Planner, claim.expected_version, &value);
         let now = self.state.now();
         match result {
             Ok(Written::Done(version)) => {
@@ -363,7 +380,7 @@
                         ("resting", &claim.holder.rests.len()),
                     ]);
                 }
-                self.shared.lease().written(claim, version);
+                self.shared.lease().record_claim(claim, version);
                 if !was_mine {
                     self.state.demand_changed.raise();
                     self.state.call_due.raise();
@@ -371,7 +388,7 @@
                 true
             }
             Ok(Written::Conflict(row)) => {
-                self.take_in(row, now);
+                self.record_row(row, now);
                 if was_mine && !self.shared.is_mine() {
                     event::FLEET_LEASE_LOST.emit(&[("fence", &fence)]);
                 }
@@ -384,9 +401,10 @@
         }
     }
 
-    /// Gives the lease up, if it is held, so that another daemon need not wait for its end.
+    /// Releases the lease if this daemon holds it, so that another daemon need not wait until it
+    /// expires.
     pub fn release(&self) {
-        let _calling = self.calling();
+        let _row_access = self.row_access();
         let now = self.state.now();
         let released = self.shared.lease().release(&self.me, now);
         let Some((version, holder)) = released else { return };
@@ -397,10 +415,10 @@
     }
 }
 
-/// Returns the pause after a call: `regular` if it had an answer.
-fn pause(backoff: &Mutex<Backoff>, answered: bool, regular: Duration) -> Duration {
+/// Returns the delay after a call: `regular` if the store responded, else the backoff.
+fn pause(backoff: &Mutex<Backoff>, has_responded: bool, regular: Duration) -> Duration {
     let mut backoff = backoff.lock().expect("no holder of the lock panics");
-    if answered {
+    if has_responded {
         backoff.succeeded();
         return regular;
     }
@@ -411,9 +429,10 @@
     serde_json::to_vec(holder).expect("a holder serializes without failure")
 }
 
-/// Decodes the row; one that can't be read counts as that of an unknown holder.
+/// Decodes the row; a row that cannot be decoded counts as that of an unknown holder.
 ///
-/// Versions of the store rise with every write, and no token was ever above them.
+/// The row's version serves as the unknown holder's fencing token: versions of the store rise with
+/// every write, and no token has ever been above them.
 fn decode(row: &OwnRow, options: LeaseOptions) -> Holder {
     serde_json::from_slice(&row.value).unwrap_or_else(|e| {
         event::FLEET_BAD_ENTRY.emit(&[("error", &e)]);
@@ -425,8 +444,8 @@
             released: false,
             covers: BTreeMap::new(),
             rests: BTreeMap::new(),
-            // Nobody knows what it has ordered, or when it can last.
-            all_rest: lease::millis(options.unknown_rest()),
+            // It is unknown to which targets this holder has sent orders, and until when it can.
+            all_rest: lease::millis(options.unknown_holder_cooldown()),
         }
     })
 }
--- a/crates/tansyknot-fleet/src/lease.rs
+++ b/crates/tansyknot-fleet/src/lease.rs
@@ -1,11 +1,13 @@
-//! Who the planner is: a row of the store that its holder renews, and which targets it may order.
+//! The planner's lease: a row of the store that the planner renews, and that names the targets to
+//! which it may send orders.
 //!
-//! The row is only ever changed by compare-and-swap. A holder trusts a renewal for [`VALID`] from
-//! the moment it was sent, by its own monotonic clock, and sends orders only to targets that the
-//! row names. Another daemon takes the row after it has stood unchanged for [`TAKE_AFTER`], which
-//! is longer. It may order at once whatever the row did not name, as nobody has ordered that for
-//! the platform's span between two holders; what the row named has to wait for that span, counted
-//! from the latest moment at which the holder before could have ordered it.
+//! The row is only changed by compare-and-swap. A holder relies on a renewal for [`LEASE_DURATION`]
+//! from the moment it was sent, by its own monotonic clock, and sends orders only to targets that
+//! the row names. Another daemon takes the row over after it has stayed unchanged for
+//! [`TAKE_AFTER`], which is longer. The new holder may send orders immediately to targets that the
+//! row did not name: no holder has sent them any for the interval that the platform requires
+//! between the orders of two holders. Targets that the row named have a cooldown of that interval,
+//! counted from the latest moment at which the previous holder could have sent them an order.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -18,124 +20,127 @@
 
 use crate::outside::PeerAddress;
 
-/// How long a renewal is good for, from the moment it was sent.
-pub const VALID: Duration = Duration::from_millis(1300);
-/// How long the row must have stood unchanged before another daemon takes it.
+/// How long a renewal is valid, from the moment it was sent.
+pub const LEASE_DURATION: Duration = Duration::from_millis(1300);
+/// How long the row must have stayed unchanged before another daemon takes it over.
 pub const TAKE_AFTER: Duration = Duration::from_millis(1500);
-/// How often the holder renews.
-pub const RENEW_EVERY: Duration = Duration::from_millis(500);
-/// Added to the span between orders of two holders, for what the network delays.
-const ORDER_MARGIN: Duration = Duration::from_millis(300);
-
-/// Added to the rest after a holder of whom nothing is known: a write to the store may be carried
-/// out seconds after it was sent.
-const UNKNOWN_MARGIN: Duration = Duration::from_millis(3400);
-
-/// Returns a span in whole milliseconds, as the row has it.
-pub fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Interval at which the holder renews the row.
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Added to the interval between the orders of two holders, for delays in the network.
+const NETWORK_MARGIN: Duration = Duration::from_millis(300);
+
+/// Added to the cooldown after an unknown holder: the store may execute a write seconds after it
+/// was sent.
+const LATE_WRITE_MARGIN: Duration = Duration::from_millis(3400);
+
+/// Returns a duration in whole milliseconds, the unit of the row.
+pub fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// The value of the planner's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The daemon.
+    /// The name of the holding daemon.
     pub daemon: Arc<str>,
-    /// This run of it.
+    /// The daemon's incarnation.
     pub incarnation: Arc<str>,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: PeerAddress,
-    /// The fencing token; it rises with each change of the holder.
+    /// The fencing token, which rises with each change of the holder.
     pub fence: u64,
     /// Whether the holder has stopped sending orders for good.
     pub released: bool,
-    /// The targets that it may order, and how long ago it last could when the row was written, in
-    /// milliseconds.
+    /// The targets to which the holder may send orders, each with the time in milliseconds since it
+    /// last could when the row was written.
     #[serde(default)]
     pub covers: BTreeMap<TargetName, u64>,
-    /// Targets that an earlier holder may have ordered, and how long they rest from when the row
-    /// was written, in milliseconds.
+    /// Targets to which an earlier holder may have sent orders, each with its remaining cooldown in
+    /// milliseconds when the row was written.
     #[serde(default)]
     pub rests: BTreeMap<TargetName, u64>,
-    /// How long all targets rest from when the row was written, in milliseconds.
+    /// The remaining cooldown of all targets in milliseconds when the row was written.
     #[serde(default)]
     pub all_rest: u64,
 }
 
-/// The span that must lie between the orders of two holders.
+/// The interval that must pass between the orders of two holders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseOptions {
-    /// The platform's bound on holders that take turns.
+    /// The platform's minimum interval between the orders of successive holders.
     pub turn: Duration,
 }
 
 impl LeaseOptions {
-    /// Returns how long a target is left alone after the last order of another holder.
-    fn rest(self) -> Duration {
-        self.turn + ORDER_MARGIN
+    /// Returns the cooldown of a target after the last order of another holder.
+    fn cooldown(self) -> Duration {
+        self.turn + NETWORK_MARGIN
     }
 
-    /// Returns how long targets are left alone after a holder of whom nothing is known: its row
-    /// may have been renewed by a write that is still under way.
-    pub fn unknown_rest(self) -> Duration {
-        self.rest() + VALID + UNKNOWN_MARGIN
+    /// Returns the cooldown of all targets after an unknown holder, whose row may have been renewed
+    /// by a write that is still in transit.
+    pub fn unknown_holder_cooldown(self) -> Duration {
+        self.cooldown() + LEASE_DURATION + LATE_WRITE_MARGIN
     }
 }
 
-/// What this daemon knows of the planner's row.
+/// This daemon's view of the planner's row, and the lease if this daemon holds it.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    seen: Option<Seen>,
-    held: Option<Held>,
+    seen: Option<ObservedRow>,
+    held: Option<HeldLease>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct ObservedRow {
     holder: Holder,
     version: u64,
-    /// The row has stood unchanged since then, or longer.
+    /// The row has stayed unchanged at least since this time.
     since: Time,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct HeldLease {
     fence: u64,
     renewed: Time,
-    /// Targets that the row names, and the last moment at which this holder ordered them.
+    /// Targets that the row names, each with the last time at which this holder sent it an order.
     covered: HashMap<TargetName, Time>,
-    /// Targets of the holder before, and when they may be ordered.
-    resting: HashMap<TargetName, Time>,
-    /// Nothing may be ordered before this time.
-    all_from: Time,
+    /// Targets of earlier holders, each with the end of its cooldown.
+    cooldown_ends: HashMap<TargetName, Time>,
+    /// End of the cooldown of all targets.
+    all_cooldown_end: Time,
 }
 
-impl Held {
+impl HeldLease {
     fn is_valid(&self, now: Time) -> bool {
-        now < self.renewed + VALID
+        now < self.renewed + LEASE_DURATION
     }
 
-    fn rests(&self, target: &TargetName, now: Time) -> bool {
-        now < self.opens_at(target)
+    fn is_cooling_down(&self, target: &TargetName, now: Time) -> bool {
+        now < self.cooldown_end(target)
     }
 
-    fn opens_at(&self, target: &TargetName) -> Time {
-        self.resting.get(target).map_or(self.all_from, |from| self.all_from.max(*from))
+    fn cooldown_end(&self, target: &TargetName) -> Time {
+        self.cooldown_ends
+            .get(target)
+            .map_or(self.all_cooldown_end, |end| self.all_cooldown_end.max(*end))
     }
 }
 
-/// A row that may be written now, and what becomes of it.
+/// A write of the row that this daemon may make now, and the lease that it holds if the write
+/// succeeds.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The version that the row must have; 0 if there must be none.
-    pub expected: u64,
+    /// The version that the row must have; 0 if there must be no row.
+    pub expected_version: u64,
     /// The value to write.
     pub holder: Holder,
-    held: Held,
+    held: HeldLease,
 }
 
 impl Lease {
-    /// Takes in the row as it was read at `now`.
-    pub fn read(&mut self, holder: Option<Holder>, version: u64, now: Time, me: &Arc<str>) {
+    /// Records the row as it was read at `now`.
+    pub fn record_row(&mut self, holder: Option<Holder>, version: u64, now: Time, me: &Arc<str>) {
         let Some(holder) = holder else {
             *self = Self::default();
             return;
@@ -145,11 +150,11 @@
         }
         let before = self.seen.as_ref().filter(|s| s.version == version);
         let since = before.map_or(now, |s| s.since);
-        self.seen = Some(Seen { holder, version, since });
+        self.seen = Some(ObservedRow { holder, version, since });
     }
 
-    /// Takes in that the holder says it wrote `version` at `sent`.
-    pub fn told(&mut self, fence: u64, version: u64, sent: Time) {
+    /// Records that the holder reported that it sent its write of `version` at `sent`.
+    pub fn record_renewal(&mut self, fence: u64, version: u64, sent: Time) {
         let Some(seen) = self.seen.as_mut().filter(|s| s.holder.fence == fence) else { return };
         if version > seen.version {
             seen.version = version;
@@ -164,28 +169,29 @@
         self.seen.as_ref().map(|s| &s.holder)
     }
 
-    /// Returns when another daemon may take the row if it stays as it is.
-    pub fn free_at(&self) -> Option<Time> {
+    /// Returns when another daemon may take the row over if it stays unchanged.
+    pub fn free_from(&self) -> Option<Time> {
         self.seen.as_ref().map(|s| s.since + TAKE_AFTER)
     }
 
-    /// Tells whether this daemon wrote the row last, as far as it knows.
+    /// Returns whether this daemon wrote the row last, according to its own view.
     pub fn is_mine(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Tells whether this daemon is the planner for now.
+    /// Returns whether this daemon holds a valid lease at `now`.
     pub fn is_valid(&self, now: Time) -> bool {
         self.held.as_ref().is_some_and(|h| h.is_valid(now))
     }
 
-    /// Returns the row's version and when this daemon wrote it.
+    /// Returns the row's version and when this daemon sent its last renewal; `None` if it does not
+    /// hold the lease.
     pub fn renewed(&self) -> Option<(u64, Time)> {
         Some((self.seen.as_ref()?.version, self.held.as_ref()?.renewed))
     }
 
-    /// Returns the claim that `me` may make now: a renewal, or the row of a holder that is gone.
-    /// `targets` are those that the row is to name besides.
+    /// Returns the claim that `me` may make now: a renewal, or the takeover of a free row. The row
+    /// names `targets` in addition.
     pub fn claim(
         &self,
         me: &Holder,
@@ -193,103 +199,112 @@
         targets: &BTreeSet<TargetName>,
         now: Time,
     ) -> Option<Claim> {
-        let (expected, mut held) = match (&self.seen, &self.held) {
-            (None, _) => (0, Held { fence: 1, ..Held::default() }),
+        let (expected_version, mut held) = match (&self.seen, &self.held) {
+            (None, _) => (0, HeldLease { fence: 1, ..HeldLease::default() }),
             (Some(seen), Some(held)) => (seen.version, held.clone()),
-            (Some(seen), None) => (seen.version, succeed(seen, me, options, now)?),
+            (Some(seen), None) => (seen.version, take_over(seen, me, options, now)?),
         };
         held.renewed = now;
-        held.resting.retain(|_, from| now < *from);
-        held.covered.retain(|_, last| now.since(*last) < options.rest());
+        held.cooldown_ends.retain(|_, end| now < *end);
+        held.covered.retain(|_, last| now.since(*last) < options.cooldown());
         held.covered.extend(targets.iter().map(|target| (target.clone(), now)));
-        let holder = Holder { released: false, ..row(&held, me, now) };
-        Some(Claim { expected, holder, held })
+        let holder = Holder { released: false, ..to_row(&held, me, now) };
+        Some(Claim { expected_version, holder, held })
     }
 
-    /// Takes in that a claim took effect and gave the row this version.
-    pub fn written(&mut self, claim: Claim, version: u64) {
+    /// Records that the write of a claim succeeded and gave the row this version.
+    pub fn record_claim(&mut self, claim: Claim, version: u64) {
         let since = claim.held.renewed;
-        self.seen = Some(Seen { holder: claim.holder, version, since });
+        self.seen = Some(ObservedRow { holder: claim.holder, version, since });
         self.held = Some(claim.held);
     }
 
-    /// Tells whether `target` could be ordered if the row named it.
-    pub fn is_open(&self, target: &TargetName, now: Time) -> bool {
-        self.opens_at(target, now).is_some_and(|at| at <= now)
+    /// Returns whether this daemon is the planner and the cooldown of `target` is over.
+    pub fn is_cooldown_over(&self, target: &TargetName, now: Time) -> bool {
+        self.cooldown_end(target, now).is_some_and(|at| at <= now)
     }
 
-    /// Returns from when `target` could be ordered if the row named it, as far as that is known;
-    /// `None` if this daemon is not the planner.
-    pub fn opens_at(&self, target: &TargetName, now: Time) -> Option<Time> {
+    /// Returns when the cooldown of `target` ends, `now` if it is over; `None` if this daemon is
+    /// not the planner.
+    pub fn cooldown_end(&self, target: &TargetName, now: Time) -> Option<Time> {
         let held = self.held.as_ref().filter(|h| h.is_valid(now))?;
-        Some(held.opens_at(target).max(now))
+        Some(held.cooldown_end(target).max(now))
     }
 
-    /// Returns the fencing token if `target` may be ordered now.
+    /// Returns the fencing token if this daemon may send orders to `target` now.
     pub fn may_order(&self, target: &TargetName, now: Time) -> Option<u64> {
         let held = self.held.as_ref()?;
-        let allowed =
-            held.is_valid(now) && !held.rests(target, now) && held.covered.contains_key(target);
+        let allowed = held.is_valid(now)
+            && !held.is_cooling_down(target, now)
+            && held.covered.contains_key(target);
         allowed.then_some(held.fence)
     }
 
-    /// Notes that `target` is ordered now.
-    pub fn ordered(&mut self, target: &TargetName, now: Time) {
+    /// Records that an order is sent to `target` now.
+    pub fn record_order(&mut self, target: &TargetName, now: Time) {
         if let Some(held) = &mut self.held {
             held.covered.insert(target.clone(), now);
         }
     }
 
-    /// Returns the row that gives the lease up, and forgets that it is held.
+    /// Drops the lease if it is held; returns the version that the row must have and the value that
+    /// releases it.
     pub fn release(&mut self, me: &Holder, now: Time) -> Option<(u64, Holder)> {
         let held = self.held.take()?;
         let seen = self.seen.as_ref()?;
-        let holder = Holder { released: true, ..row(&held, me, now) };
+        let holder = Holder { released: true, ..to_row(&held, me, now) };
         Some((seen.version, holder))
     }
 }
 
-/// What `me` holds when it takes the row of another holder now; `None` if it may not yet.
-fn succeed(seen: &Seen, me: &Holder, options: LeaseOptions, now: Time) -> Option<Held> {
+/// Returns the lease that `me` has after it takes the row over now; `None` if the row is not free
+/// yet.
+fn take_over(
+    seen: &ObservedRow,
+    me: &Holder,
+    options: LeaseOptions,
+    now: Time,
+) -> Option<HeldLease> {
     let before = &seen.holder;
-    let same_host = before.daemon == me.daemon && before.address.ip() == me.address.ip();
-    let is_free = same_host || before.released || now.since(seen.since) >= TAKE_AFTER;
+    let is_same_host = before.daemon == me.daemon && before.address.ip() == me.address.ip();
+    let is_free = is_same_host || before.released || now.since(seen.since) >= TAKE_AFTER;
     if !is_free {
         return None;
     }
-    let mut held = Held { fence: before.fence + 1, ..Held::default() };
-    // The row was written before it was seen, so these end too late rather than too early.
-    held.all_from = seen.since + Duration::from_millis(before.all_rest);
-    for (target, rest) in &before.rests {
-        held.resting.insert(target.clone(), seen.since + Duration::from_millis(*rest));
+    let mut held = HeldLease { fence: before.fence + 1, ..HeldLease::default() };
+    // The row was written before it was read, so these cooldowns end late rather than early.
+    held.all_cooldown_end = seen.since + Duration::from_millis(before.all_rest);
+    for (target, cooldown_ms) in &before.rests {
+        held.cooldown_ends.insert(target.clone(), seen.since + Duration::from_millis(*cooldown_ms));
     }
-    for (target, idle) in &before.covers {
-        if same_host {
-            // An earlier run on this host has ended, and both count as one holder; whoever comes
-            // next has to leave alone what that run ordered.
+    for (target, idle_ms) in &before.covers {
+        if is_same_host {
+            // The earlier incarnation on this host has ended, and both count as one holder. The
+            // next holder has to observe the cooldown of the targets that the earlier one sent
+            // orders to.
             held.covered.insert(target.clone(), now);
             continue;
         }
-        let from = if before.released {
-            now + options.rest().saturating_sub(Duration::from_millis(*idle))
+        let end = if before.released {
+            now + options.cooldown().saturating_sub(Duration::from_millis(*idle_ms))
         } else {
-            seen.since + VALID + options.rest()
+            seen.since + LEASE_DURATION + options.cooldown()
         };
-        let entry = held.resting.entry(target.clone()).or_default();
-        *entry = (*entry).max(from);
+        let latest_end = held.cooldown_ends.entry(target.clone()).or_default();
+        *latest_end = (*latest_end).max(end);
     }
     Some(held)
 }
 
-/// Returns the row that tells what `me` holds.
-fn row(held: &Held, me: &Holder, now: Time) -> Holder {
+/// Returns the row that describes the lease of `me`.
+fn to_row(held: &HeldLease, me: &Holder, now: Time) -> Holder {
     let idle = |(target, last): (&TargetName, &Time)| (target.clone(), millis(now.since(*last)));
-    let rest = |(target, from): (&TargetName, &Time)| (target.clone(), millis(from.since(now)));
+    let cooldown = |(target, end): (&TargetName, &Time)| (target.clone(), millis(end.since(now)));
     Holder {
         fence: held.fence,
         covers: held.covered.iter().map(idle).collect(),
-        rests: held.resting.iter().map(rest).collect(),
-        all_rest: millis(held.all_from.since(now)),
+        rests: held.cooldown_ends.iter().map(cooldown).collect(),
+        all_rest: millis(held.all_cooldown_end.since(now)),
         ..me.clone()
     }
 }
