--- a/crates/tansyknot-fleet/src/state.rs
+++ b/crates/tansyknot-fleet/src/state.rs
@@ -1,4 +1,5 @@
-//! What the threads of a daemon share: the configuration in force and the view of the targets.
+//! State shared by the threads of a daemon: the configuration in force, the view of the targets,
+//! and the views of peers, keys and quotas.
 
 use std::{
     collections::HashMap,
@@ -23,15 +24,16 @@
     spans::Spans,
 };
 
-/// A daemon has read the configuration this long after its start, if the store answers: some
-/// 100 ms on the users' hosts.
-const START_USUAL: Duration = Duration::from_millis(500);
+/// A daemon has read the configuration within this time after its start if the store responds; the
+/// read usually takes about 100 ms.
+const USUAL_STARTUP: Duration = Duration::from_millis(500);
 
-/// Calls a second for the list of targets that daemons without a planner make together, as long as
-/// their views stay fresh enough. Nine daemons ask each 0.6 s so, as often as a planner does.
+/// Calls per second for the list of targets that all daemons without a planner make together, as
+/// long as their views stay fresh enough. Nine daemons then each read the list every 0.6 s, as
+/// often as a planner does.
 const LIST_CALLS_PER_S: f64 = 15.0;
 
-/// A moment that other threads wait for.
+/// A counter of notifications that other threads can wait on.
 #[derive(Debug, Default)]
 pub struct Signal {
     count: Mutex<u64>,
@@ -39,42 +41,43 @@
 }
 
 impl Signal {
-    /// Wakes all who wait.
+    /// Wakes all waiting threads.
     pub fn raise(&self) {
         *self.count.lock().expect("no holder of the lock panics") += 1;
         self.changed.notify_all();
     }
 
-    /// Waits up to `span` for a raise after `seen`; returns the count for the next wait.
-    pub fn wait(&self, seen: u64, span: Duration) -> u64 {
+    /// Waits up to `timeout` until the count differs from `seen`; returns the count for the next
+    /// wait.
+    pub fn wait(&self, seen: u64, timeout: Duration) -> u64 {
         let count = self.count.lock().expect("no holder of the lock panics");
         let (count, _) = self
             .changed
-            .wait_timeout_while(count, span, |count| *count == seen)
+            .wait_timeout_while(count, timeout, |count| *count == seen)
             .expect("no holder of the lock panics");
         *count
     }
 
-    /// Returns the count of raises.
+    /// Returns the number of notifications so far.
     pub fn count(&self) -> u64 {
         *self.count.lock().expect("no holder of the lock panics")
     }
 }
 
-/// When calls began that the store answered last.
+/// When the last successful calls to the store began, and whether the store responds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contacts {
-    /// For the list of targets.
+    /// Start of the last successful call for the list of targets.
     pub list: Option<Time>,
-    /// For the configuration.
+    /// The moment as of which the last successful call showed the configuration.
     pub config: Option<Time>,
-    /// Whether the last call that followed the store had no answer.
+    /// Whether the last call that followed the store failed.
     pub is_lost: bool,
-    /// When the store last answered again after calls that failed.
+    /// When the store last responded again after failed calls.
     pub returned: Option<Time>,
 }
 
-/// How long requests have waited for loads that came.
+/// Estimates of how long requests wait for loads that succeed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadWaits {
     models: Estimate,
@@ -82,8 +85,8 @@
 }
 
 impl LoadWaits {
-    /// Returns what is known of loads of the kind that a request waits for: an adapter's takes
-    /// some ms, a model's seconds.
+    /// Returns the estimate for the kind of load that a request waits for: loading an adapter takes
+    /// milliseconds, loading a model takes seconds.
     pub fn of(&mut self, want: &Want<'_>) -> &mut Estimate {
         match want.adapter {
             Some(_) => &mut self.adapters,
@@ -92,23 +95,24 @@
     }
 }
 
-/// What the threads of a daemon share.
+/// State shared by the threads of a daemon.
 pub struct State {
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// Raised when the view of the targets has changed or a place has become free.
+    /// Raised when the view of the targets has changed or a slot has become free.
     pub targets_changed: Signal,
     /// Raised when a request begins to wait for a load.
     pub demand_changed: Signal,
-    /// Raised when a look at a target has ended, there is something to tell of poison requests, or
-    /// one is convicted.
+    /// Raised when a crash check of a target has ended, evidence about poison requests is to be
+    /// sent, or a request is convicted.
     pub poison_changed: Signal,
-    /// Raised when a question about a quota is answered.
+    /// Raised when the reply to a quota request has arrived.
     pub quota_answered: Signal,
-    /// Raised when a request asks whether it may go to a target that names a limit, at the daemon that
-    /// decides.
+    /// Raised at the deciding daemon when a request asks for a permit at a target that announces a
+    /// limit.
     pub permits_changed: Signal,
-    /// Raised when a call to the store may be due: by the planner's news, or as it answers again.
+    /// Raised when a call to the store may be due: after an update from the planner, or when the
+    /// store responds again.
     pub call_due: Signal,
     fleet: Mutex<Fleet>,
     followed: Mutex<Followed>,
@@ -122,26 +126,26 @@
     budgets: Mutex<HashMap<ServiceName, Budget>>,
     load_waits: Mutex<LoadWaits>,
     budget_options: BudgetOptions,
-    /// Bounds on keys and quotas.
+    /// Limits for keys and quotas.
     pub access: AccessOptions,
-    /// How old views may become.
+    /// Maximum ages of the views.
     pub spans: Spans,
     started: Time,
 }
 
-/// Bounds that the threads keep together.
+/// Limits that the threads of a daemon enforce together.
 #[derive(Clone, Copy, Debug)]
 pub struct StateOptions {
-    /// Bounds on second sends.
+    /// Limits on retries.
     pub budget: BudgetOptions,
-    /// Bounds on keys and quotas.
+    /// Limits for keys and quotas.
     pub access: AccessOptions,
-    /// How old views may become.
+    /// Maximum ages of the views.
     pub spans: Spans,
 }
 
 impl State {
-    /// Makes the state of a daemon in `zone` that knows nothing yet.
+    /// Creates the initial state of a daemon in `zone`, with empty views.
     pub fn new(zone: ZoneName, options: StateOptions, clock: Arc<dyn Clock>) -> Self {
         let StateOptions { budget, access, spans } = options;
         let started = clock.now();
@@ -171,7 +175,7 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
@@ -180,34 +184,34 @@
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns what the planner has told in place of calls to the store.
+    /// Returns the view received from the planner, which replaces calls to the store.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn followed(&self) -> MutexGuard<'_, Followed> {
         self.followed.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns the daemons that the planner has told of.
+    /// Returns the daemons that the planner has announced.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn peers(&self) -> MutexGuard<'_, Peers> {
         self.peers.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns what is known of requests under which targets have crashed.
+    /// Returns the evidence about requests under which targets have crashed.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn poison(&self) -> MutexGuard<'_, Poison> {
         self.poison.lock().expect("no holder of the lock panics")
     }
@@ -216,30 +220,30 @@
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn key_view(&self) -> MutexGuard<'_, KeyView> {
         self.key_view.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns what has been asked and used of quotas.
+    /// Returns the pending quota requests and the quota use that is not reported yet.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn pending(&self) -> MutexGuard<'_, Pending> {
         self.pending.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns the requests that ask whether they may go to targets that name limits.
+    /// Returns the pending permit requests for targets that announce limits.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn permits(&self) -> MutexGuard<'_, PendingPermits> {
         self.permits.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns how long this daemon has run.
+    /// Returns the time since this daemon started.
     pub fn runs_for(&self, now: Time) -> Duration {
         now.since(self.started)
     }
@@ -250,8 +254,8 @@
         (self.catalog(), *view)
     }
 
-    /// Brings a configuration in force unless it is older, which was the newest as of a moment; tells
-    /// whether it was newer.
+    /// Puts a configuration in force if it is newer than the current one, and records that it was
+    /// the newest as of `as_of`. Returns whether it was newer.
     pub fn put_in_force(&self, catalog: Catalog, as_of: Time) -> bool {
         let mut view = self.key_view();
         let version = catalog.version;
@@ -260,100 +264,106 @@
         is_newer
     }
 
-    /// Tells whether this daemon can tell which keys hold, if requests need one.
+    /// Returns whether the view of the keys is fresh enough to validate them; `true` if requests
+    /// need no key.
     pub fn knows_keys(&self) -> bool {
         self.keys_age().is_none_or(|age| age <= self.access.view.good_for)
     }
 
-    /// Returns how long the view of the keys is fresh enough without a call.
+    /// Returns how long the view of the keys stays fresh enough without a call to the store.
     pub fn keys_fresh_for(&self) -> Duration {
         let left = |age| self.access.view.ask_after().saturating_sub(age);
         self.keys_age().map_or(Duration::MAX, left)
     }
 
-    /// Tells whether requests need keys, as far as is known.
+    /// Returns whether requests need keys under the configuration in force.
     pub fn needs_keys(&self) -> bool {
         self.catalog().is_some_and(|c| c.teams.is_some())
     }
 
-    /// Returns how old the view of the keys is, if requests need any.
+    /// Returns the age of the view of the keys; `None` if requests need no key.
     fn keys_age(&self) -> Option<Duration> {
         let (catalog, view) = self.in_force();
         let catalog = catalog.filter(|c| c.teams.is_some())?;
         Some(view.age(catalog.version, self.now()))
     }
 
-    /// Begins a trial of a convicted request, if it falls to this daemon and there may be one.
+    /// Begins the trial of a convicted request if the request is assigned to this daemon and a
+    /// trial is allowed now; returns whether it did.
     pub fn begin_trial(&self, key: RequestKey) -> bool {
         let now = self.now();
-        let falls_to_me = self.peers().falls_to_me(key.short(), now);
-        falls_to_me && self.poison().begin_trial(key, now)
+        let is_assigned = self.peers().falls_to_me(key.short(), now);
+        is_assigned && self.poison().begin_trial(key, now)
     }
 
-    /// Takes in what another daemon knows of such requests; returns what that one lacks, and whether
-    /// a request is convicted by it. Requests that wait for a target look again then. What clears one
-    /// here is told to others at once.
+    /// Merges another daemon's evidence about poison requests; returns the evidence that the other
+    /// daemon lacks, and whether the merge convicts a request. Waiting requests are checked again
+    /// after a conviction. Evidence that clears a request here is sent to the other daemons
+    /// immediately.
     pub fn merge_poison(&self, evidence: &[Evidence]) -> Merged {
         let now = self.now();
-        let (merged, has_untold) = {
+        let (merged, has_unsent) = {
             let mut poison = self.poison();
             (poison.merge(evidence, now), poison.has_untold())
         };
         if merged.convicts {
             self.targets_changed.raise();
         }
-        if merged.convicts || has_untold {
+        if merged.convicts || has_unsent {
             self.poison_changed.raise();
         }
         merged
     }
 
-    /// Returns when calls began that the store answered last.
+    /// Returns the state of the contact with the store.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn contacts(&self) -> MutexGuard<'_, Contacts> {
         self.contacts.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns how often the list is asked for without news of it: rarer where many daemons do.
+    /// Returns the interval between calls for the list while there are no updates from a planner.
+    /// It grows with the number of daemons.
     pub fn list_pace(&self) -> Duration {
-        let fair = Duration::from_secs_f64(self.fleet().daemons() as f64 / LIST_CALLS_PER_S);
-        fair.clamp(self.spans.list_pace, self.spans.list)
+        let interval = Duration::from_secs_f64(self.fleet().daemons() as f64 / LIST_CALLS_PER_S);
+        interval.clamp(self.spans.list_pace, self.spans.list)
     }
 
-    /// Returns how long the view of the list is fresh enough without a call.
+    /// Returns how long the view of the list stays fresh enough without a call to the store.
     pub fn list_fresh_for(&self, now: Time) -> Duration {
-        let is_gapped = self.fleet().is_gapped();
-        if is_gapped { Duration::ZERO } else { self.followed().list_fresh_for(now) }
+        let has_gap = self.fleet().is_gapped();
+        if has_gap { Duration::ZERO } else { self.followed().list_fresh_for(now) }
     }
 
-    /// Returns how long version `mine` of the configuration is fresh enough without a call: by the
-    /// planner's news, or by this daemon's own last call if the planner has told of no newer one.
-    pub fn config_fresh_for(&self, mine: u64) -> Duration {
+    /// Returns how long version `own_version` of the configuration stays fresh enough without a
+    /// call to the store: according to the planner's updates, or to this daemon's own last call if
+    /// the planner has announced no newer version.
+    pub fn config_fresh_for(&self, own_version: u64) -> Duration {
         let now = self.now();
         let own = self.contacts().config;
         let keys = self.keys_fresh_for();
         let followed = self.followed();
-        let own = own.filter(|_| followed.config_version() <= mine);
+        let own = own.filter(|_| followed.config_version() <= own_version);
         let own_left =
             own.map_or(Duration::ZERO, |at| self.spans.config.saturating_sub(now.since(at)));
-        followed.config_fresh_for(mine, now).max(own_left).min(keys)
+        followed.config_fresh_for(own_version, now).max(own_left).min(keys)
     }
 
-    /// Wakes the requests that wait for a target, and the planner, as the view has changed.
+    /// Wakes the requests that wait for a target, and the planner, after a change of the view.
     pub fn view_changed(&self) {
         self.targets_changed.raise();
         self.demand_changed.raise();
     }
 
-    /// Takes in that the store does not answer.
+    /// Records that the store does not respond.
     pub fn store_lost(&self) {
         self.contacts().is_lost = true;
     }
 
-    /// Takes in that the store answers again, so that calls that pause since a failure are made.
+    /// Records that the store responds again, and wakes the threads that delay their calls after a
+    /// failure.
     pub fn store_returned(&self) {
         {
             let mut contacts = self.contacts();
@@ -363,17 +373,19 @@
         self.call_due.raise();
     }
 
-    /// Tells whether the store does not answer, or has not within a usual start.
+    /// Returns whether the store does not respond, or has not responded within the usual startup
+    /// time.
     pub fn store_is_away(&self) -> bool {
-        let starts = self.catalog().is_none() && self.now().since(self.started) > START_USUAL;
-        starts || self.contacts().is_lost
+        let is_starting_late =
+            self.catalog().is_none() && self.now().since(self.started) > USUAL_STARTUP;
+        is_starting_late || self.contacts().is_lost
     }
 
-    /// Returns how long requests have waited for loads that came.
+    /// Returns the estimates of how long requests wait for loads.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn load_waits(&self) -> MutexGuard<'_, LoadWaits> {
         self.load_waits.lock().expect("no holder of the lock panics")
     }
@@ -382,16 +394,16 @@
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn catalog(&self) -> Option<Arc<Catalog>> {
         self.catalog.read().expect("no holder of the lock panics").clone()
     }
 
-    /// Brings a configuration in force unless it is older; tells whether it was newer.
+    /// Puts a configuration in force if it is newer than the current one; returns whether it was.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn set_catalog(&self, catalog: Catalog) -> bool {
         let mut current = self.catalog.write().expect("no holder of the lock panics");
         let is_newer = current.as_ref().is_none_or(|c| c.version < catalog.version);
@@ -401,44 +413,44 @@
         is_newer
     }
 
-    /// Counts the first send of a request to a service.
+    /// Counts the first attempt of a request to a service.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn count_first_send(&self, service: &ServiceName) {
         let now = self.now();
-        let part = self.budget_part(now);
+        let share = self.budget_share(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        budgets.entry(service.clone()).or_default().first(now, part, &self.budget_options);
+        budgets.entry(service.clone()).or_default().first(now, share, &self.budget_options);
     }
 
-    /// Takes a second send from the retry budget; tells whether there was one left.
+    /// Takes one retry from the service's retry budget; returns whether one was left.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn take_second_send(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        let part = self.budget_part(now);
+        let share = self.budget_share(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        budgets.entry(service.clone()).or_default().take(now, part, &self.budget_options)
+        budgets.entry(service.clone()).or_default().take(now, share, &self.budget_options)
     }
 
-    fn budget_part(&self, now: Time) -> Part {
+    fn budget_share(&self, now: Time) -> Part {
         Part { daemons: self.fleet().daemons(), running: now.since(self.started) }
     }
 
-    /// Returns what this daemon has spent of each service's retry budget, and may spend.
+    /// Returns what this daemon has spent of each service's retry budget, and its allowance.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with it.
+    /// Panics if the lock is poisoned.
     pub fn retries(&self) -> Vec<(ServiceName, Retries)> {
         let now = self.now();
-        let part = self.budget_part(now);
+        let share = self.budget_share(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        let retries = |budget: &mut Budget| budget.retries(now, part, &self.budget_options);
+        let retries = |budget: &mut Budget| budget.retries(now, share, &self.budget_options);
         budgets.iter_mut().map(|(service, budget)| (service.clone(), retries(budget))).collect()
     }
 }
