--- a/crates/tansyknot-fleet/src/task.rs
+++ b/crates/tansyknot-fleet/src/task.rs
@@ -1,4 +1,5 @@
-//! Carries out a task: sends its orders to the target one after the other and sees them done.
+//! Executes a task: sends its orders to the target one after the other and waits until each is
+//! done.
 
 mod effect;
 mod load;
@@ -21,187 +22,193 @@
     target::{self, Born, Held, Report, Target},
 };
 
-use effect::{apply, describe, same_models, without};
+use effect::{apply, describe, models_without, same_models};
 
-/// Pause before an order is sent again that met another one under way, at first. It doubles, so
-/// that a removal that waits for its runs is not asked for all the time.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(10);
-/// The longest such pause.
-const CONFLICT_PAUSE_MOST: Duration = Duration::from_millis(80);
-/// Pause after a model's removal, which takes some ms if nobody uses it.
-const REMOVAL_PAUSE: Duration = Duration::from_millis(10);
-/// Conflicts after which the target is asked what it has accepted.
+/// Initial delay before an order is sent again after a conflict with another order in progress. It
+/// doubles with each conflict, so that a target whose removal waits for running requests is not
+/// polled constantly.
+const MIN_CONFLICT_DELAY: Duration = Duration::from_millis(10);
+/// Maximum delay before an order is sent again after a conflict.
+const MAX_CONFLICT_DELAY: Duration = Duration::from_millis(80);
+/// Delay after a model's removal, which takes a few milliseconds if no request uses the model.
+const REMOVAL_DELAY: Duration = Duration::from_millis(10);
+/// Number of conflicts after which a report of the target is requested, to check how many orders it
+/// has accepted.
 const CONFLICTS_BEFORE_REPORT: u32 = 5;
-/// Conflicts after which the task is given up: some seconds, as a removal waits for its runs.
-const CONFLICTS_MAX: u32 = 60;
-/// A report may be this old, so what was done before that long shows in it.
-const REPORT_LAG: Duration = Duration::from_millis(400);
-/// Orders without an answer after which the task is given up.
-const SILENCES_MAX: u32 = 3;
-/// Pause between two looks for the end of a load.
-const LOAD_LOOK: Duration = Duration::from_millis(120);
-/// Reports after which a load that does not end is given up.
-const LOAD_REPORTS: u32 = 30;
+/// Conflicts after which the task is abandoned. They take several seconds, since a removal waits
+/// for running requests.
+const MAX_CONFLICTS: u32 = 60;
+/// Maximum age of a report: it shows everything that was done earlier than this before its arrival.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(400);
+/// Consecutive orders without a response after which the task is abandoned.
+const MAX_UNANSWERED_ORDERS: u32 = 3;
+/// Interval between checks whether a load has ended.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(120);
+/// Reports after which a load that has not ended is abandoned.
+const MAX_LOAD_REPORTS: u32 = 30;
 
-/// What tasks work with.
+/// Executes tasks by sending their orders to the targets.
 pub struct Orders {
-    /// The shared state.
+    /// The state shared by the daemon's threads.
     pub state: Arc<State>,
-    /// Keeps the lease that allows orders.
+    /// Maintains the lease and adds targets to it.
     pub keeper: Arc<Keeper>,
-    /// The lease.
+    /// The lease, which is checked before each order.
     pub lease: Arc<SharedLease>,
-    /// Calls to targets.
+    /// The client of the targets.
     pub targets: Arc<dyn Targets>,
-    /// Where figures go.
+    /// Receives the metrics.
     pub recorder: Arc<dyn Recorder>,
     /// This daemon's name.
     pub daemon: Arc<str>,
-    /// Loads that should be done by now and have not shown in the list of targets.
+    /// Number of loads whose expected time is over and that do not show in the list of targets yet.
     pub due: AtomicUsize,
-    /// What targets have accepted from this planner.
+    /// The orders that targets have accepted from this planner.
     pub ledger: Mutex<Ledger>,
 }
 
-/// What targets have accepted under one lease.
+/// The orders that targets have accepted under one fencing token, and the models loaded since.
 ///
-/// It goes before the list of targets, which may be seconds old: as long as a target has accepted
-/// no more orders than stand here, it holds what stands here.
+/// The ledger takes precedence over the list of targets, which may be seconds old: as long as a
+/// target has accepted no more orders than the ledger records, its loaded models are those in the
+/// ledger.
 #[derive(Debug, Default)]
 pub struct Ledger {
     fence: u64,
-    targets: HashMap<TargetName, Account>,
-    notes: u64,
+    targets: HashMap<TargetName, LedgerEntry>,
+    override_revision: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Account {
-    born: Option<Born>,
+struct LedgerEntry {
+    started_at: Option<Born>,
     orders: u64,
     models: Vec<Held>,
 }
 
-/// A task under way.
+/// The progress of a task.
 struct Progress {
     target: Arc<Target>,
     models: Vec<Held>,
     orders: u64,
 }
 
-/// How a task has ended, as far as its target's next task is concerned.
+/// How a task has ended, which determines when its target gets the next task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
-    /// All of it was done.
+    /// All orders were executed.
     Done,
-    /// The target holds other models than were planned with, which are known now.
+    /// The target's loaded models differ from those that the plan assumed; they are known now.
     Replan,
-    /// The target does not do what it is told.
+    /// The target did not execute the orders.
     Failed,
 }
 
-/// Why a task has ended before its last order was done.
+/// Why a task has ended before its last order was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stopped {
-    /// This daemon may not order any more.
+enum StopReason {
+    /// This daemon may no longer send orders to the target.
     LeaseLost,
-    /// The target has accepted other orders than this task knows of.
+    /// The target has accepted orders that this task has not sent.
     Overtaken,
-    /// The target holds other models than the task was planned with.
+    /// The target's loaded models differ from those that the plan assumed.
     Outdated,
-    /// The target does not answer.
-    Silent,
-    /// The target refuses the order.
+    /// The target does not respond.
+    Unresponsive,
+    /// The target has refused the order.
     Refused,
-    /// The load did not end in time.
+    /// The load has not ended in time.
     NotLoaded,
     /// The target has started again since the task was planned.
     Restarted,
 }
 
-impl Stopped {
+impl StopReason {
     fn name(self) -> &'static str {
         match self {
-            Stopped::LeaseLost => "lease_lost",
-            Stopped::Overtaken => "overtaken",
-            Stopped::Outdated => "outdated",
-            Stopped::Silent => "silent",
-            Stopped::Refused => "refused",
-            Stopped::NotLoaded => "not_loaded",
-            Stopped::Restarted => "restarted",
+            StopReason::LeaseLost => "lease_lost",
+            StopReason::Overtaken => "overtaken",
+            StopReason::Outdated => "outdated",
+            StopReason::Unresponsive => "silent",
+            StopReason::Refused => "refused",
+            StopReason::NotLoaded => "not_loaded",
+            StopReason::Restarted => "restarted",
         }
     }
 }
 
 impl Orders {
-    /// Carries out a task.
+    /// Executes a task.
     pub fn run(&self, task: &Task) -> TaskEnd {
         let mut progress = Progress {
             target: Arc::clone(&task.target),
             models: task.target.models.clone(),
             orders: 0,
         };
-        let result = self.carry_out(&mut progress, task);
-        if let Err((stopped, at)) = result {
+        let result = self.execute(&mut progress, task);
+        if let Err((reason, failed_step)) = result {
             event::FLEET_ORDER_FAILED.emit(&[
                 ("target", &task.target.name),
-                ("order", &at.map_or_else(String::new, |step| describe(&step.action))),
+                ("order", &failed_step.map_or_else(String::new, |step| describe(&step.action))),
                 ("accepted", &progress.orders),
-                ("reason", &stopped.name()),
+                ("reason", &reason.name()),
             ]);
             self.recorder.count(metric::ORDERS_FAILED.name, &task.target.service, 1);
             self.ledger().targets.remove(&task.target.name);
             self.publish(&progress, progress.models.clone());
-            let is_known = stopped == Stopped::Outdated;
-            return if is_known { TaskEnd::Replan } else { TaskEnd::Failed };
+            let needs_replan = reason == StopReason::Outdated;
+            return if needs_replan { TaskEnd::Replan } else { TaskEnd::Failed };
         }
-        let born = progress.target.born;
-        let account = Account { born, orders: progress.orders, models: progress.models };
-        self.ledger().targets.insert(task.target.name.clone(), account);
+        let started_at = progress.target.born;
+        let entry = LedgerEntry { started_at, orders: progress.orders, models: progress.models };
+        self.ledger().targets.insert(task.target.name.clone(), entry);
         TaskEnd::Done
     }
 
-    fn carry_out<'a>(
+    fn execute<'a>(
         &self,
         progress: &mut Progress,
         task: &'a Task,
-    ) -> Result<(), (Stopped, Option<&'a Step>)> {
-        self.begin(progress).map_err(|stopped| (stopped, None))?;
+    ) -> Result<(), (StopReason, Option<&'a Step>)> {
+        self.begin(progress).map_err(|reason| (reason, None))?;
         for step in &task.steps {
-            self.step(progress, step).map_err(|stopped| (stopped, Some(step)))?;
+            self.step(progress, step).map_err(|reason| (reason, Some(step)))?;
         }
         Ok(())
     }
 
-    /// Finds out how many orders the target has accepted, and that it holds what was planned with.
-    fn begin(&self, progress: &mut Progress) -> Result<(), Stopped> {
-        let fence = self.keeper.cover(&progress.target.name).ok_or(Stopped::LeaseLost)?;
-        let known = {
+    /// Determines how many orders the target has accepted, and checks that its loaded models are
+    /// those that the plan assumed.
+    fn begin(&self, progress: &mut Progress) -> Result<(), StopReason> {
+        let fence = self.keeper.cover(&progress.target.name).ok_or(StopReason::LeaseLost)?;
+        let recorded = {
             let mut ledger = self.ledger();
             if ledger.fence != fence {
                 *ledger = Ledger { fence, ..Ledger::default() };
             }
             ledger.targets.get(&progress.target.name).cloned()
         };
-        let known = known.filter(|known| target::may_be_same_run(known.born, progress.target.born));
-        if let Some(known) = known {
-            progress.orders = known.orders;
-            return self.agree(progress, known.models);
+        let recorded = recorded
+            .filter(|recorded| target::may_be_same_run(recorded.started_at, progress.target.born));
+        if let Some(recorded) = recorded {
+            progress.orders = recorded.orders;
+            return self.check_models(progress, recorded.models);
         }
         let report = self.report(progress)?;
         progress.orders = report.orders;
         if report.busy {
-            return Err(Stopped::Overtaken);
+            return Err(StopReason::Overtaken);
         }
-        self.agree(progress, report.models)
+        self.check_models(progress, report.models)
     }
 
-    /// Gives the task up if the target holds other models than it was planned with.
-    fn agree(&self, progress: &mut Progress, models: Vec<Held>) -> Result<(), Stopped> {
+    /// Abandons the task if the target's loaded models differ from those that the plan assumed.
+    fn check_models(&self, progress: &mut Progress, models: Vec<Held>) -> Result<(), StopReason> {
         if same_models(&models, &progress.models) {
             return Ok(());
         }
         progress.models = models;
-        Err(Stopped::Outdated)
+        Err(StopReason::Outdated)
     }
 
     fn ledger(&self) -> MutexGuard<'_, Ledger> {
@@ -212,14 +219,14 @@
         self.state.now()
     }
 
-    fn step(&self, progress: &mut Progress, step: &Step) -> Result<(), Stopped> {
+    fn step(&self, progress: &mut Progress, step: &Step) -> Result<(), StopReason> {
         if let Action::Remove { model, adapter: None } = &step.action {
-            // Requests are kept away before the target begins to refuse them.
-            let left = without(&progress.models, model);
+            // Daemons stop sending requests for the model before the target begins to refuse them.
+            let left = models_without(&progress.models, model);
             self.publish(progress, left);
         }
         let began = self.now();
-        let ordered = self.accepted(progress, &step.action)?;
+        let ordered = self.send_until_accepted(progress, &step.action)?;
         event::FLEET_ORDERED.emit(&[
             ("target", &progress.target.name),
             ("order", &describe(&step.action)),
@@ -231,13 +238,13 @@
         match &step.action {
             Action::Load { model, adapter: None } if ordered == Ordered::Accepted => {
                 self.await_load(progress, model, step.takes).inspect_err(|_| {
-                    // Whether it is there is for the next task's report to say.
+                    // The next task's report shows whether the model is loaded.
                     progress.models.retain(|h| h.model != *model);
                 })?;
             }
             Action::Remove { adapter: None, .. } => {
-                // What is left has been published before the order.
-                self.pause(REMOVAL_PAUSE);
+                // The remaining models were published before the order.
+                self.pause(REMOVAL_DELAY);
                 return Ok(());
             }
             _ => {}
@@ -246,56 +253,64 @@
         Ok(())
     }
 
-    /// Sends an order until the target has accepted it.
+    /// Sends an order repeatedly until the target has accepted it.
     ///
-    /// One without an answer is sent again at once: both expect the same count, so that the target
-    /// carries out one of them at most.
-    fn accepted(&self, progress: &mut Progress, action: &Action) -> Result<Ordered, Stopped> {
-        let (mut conflicts, mut silences) = (0, 0);
+    /// An order without a response is retried immediately: both carry the same expected order
+    /// count, so the target executes at most one of them.
+    fn send_until_accepted(
+        &self,
+        progress: &mut Progress,
+        action: &Action,
+    ) -> Result<Ordered, StopReason> {
+        let (mut conflicts, mut unanswered) = (0, 0);
         loop {
             match self.send(progress, action)? {
                 Some(Ordered::Accepted) => {
                     progress.orders += 1;
                     return Ok(Ordered::Accepted);
                 }
-                Some(Ordered::Refused) => return Err(Stopped::Refused),
-                Some(Ordered::Done) if silences == 0 => {
-                    self.settle_done(progress, action);
+                Some(Ordered::Refused) => return Err(StopReason::Refused),
+                Some(Ordered::Done) if unanswered == 0 => {
+                    self.count_done(progress, action);
                     return Ok(Ordered::Done);
                 }
-                Some(Ordered::Conflict) if silences == 0 => {
+                Some(Ordered::Conflict) if unanswered == 0 => {
                     conflicts += 1;
-                    if conflicts > CONFLICTS_MAX {
-                        return Err(Stopped::Overtaken);
+                    if conflicts > MAX_CONFLICTS {
+                        return Err(StopReason::Overtaken);
                     }
-                    self.pause(backoff::grown(CONFLICT_PAUSE, conflicts - 1, CONFLICT_PAUSE_MOST));
+                    self.pause(backoff::grown(
+                        MIN_CONFLICT_DELAY,
+                        conflicts - 1,
+                        MAX_CONFLICT_DELAY,
+                    ));
                     if conflicts % CONFLICTS_BEFORE_REPORT == 0 {
                         let is_settled = conflicts > CONFLICTS_BEFORE_REPORT;
-                        self.check_count(progress, is_settled)?;
+                        self.check_order_count(progress, is_settled)?;
                     }
                 }
-                // The one that was not answered may have been carried out.
+                // The order without a response may have been executed.
                 Some(Ordered::Done | Ordered::Conflict) => {
-                    self.pause(REPORT_LAG);
-                    if self.was_carried_out(progress, action)? {
+                    self.pause(MAX_REPORT_AGE);
+                    if self.was_executed(progress, action)? {
                         return Ok(Ordered::Done);
                     }
-                    silences = 0;
+                    unanswered = 0;
                 }
                 None => {
-                    silences += 1;
-                    if silences >= SILENCES_MAX {
-                        return Err(Stopped::Silent);
+                    unanswered += 1;
+                    if unanswered >= MAX_UNANSWERED_ORDERS {
+                        return Err(StopReason::Unresponsive);
                     }
                 }
             }
         }
     }
 
-    /// Sends an order once; `None` if it was not answered.
-    fn send(&self, progress: &Progress, action: &Action) -> Result<Option<Ordered>, Stopped> {
+    /// Sends an order once; `None` if no response came.
+    fn send(&self, progress: &Progress, action: &Action) -> Result<Option<Ordered>, StopReason> {
         let name = &progress.target.name;
-        let fence = self.keeper.cover(name).ok_or(Stopped::LeaseLost)?;
+        let fence = self.keeper.cover(name).ok_or(StopReason::LeaseLost)?;
         let order = Order {
             action: action.clone(),
             expected: progress.orders,
@@ -311,19 +326,19 @@
         match self.targets.order(&progress.target, &order, &still_allowed) {
             Ok(ordered) => Ok(Some(ordered)),
             Err(e) => {
-                log::debug!("{name} did not answer an order: {e}");
+                log::debug!("target {name} did not respond to an order: {e}");
                 Ok(None)
             }
         }
     }
 
-    /// Finds out whether an order without an answer was carried out.
+    /// Determines from reports whether an order without a response was executed.
     ///
-    /// A higher count alone does not tell: an earlier order may have been carried out late.
-    fn was_carried_out(&self, progress: &mut Progress, action: &Action) -> Result<bool, Stopped> {
+    /// A higher order count alone does not prove it: an earlier order may have been executed late.
+    fn was_executed(&self, progress: &mut Progress, action: &Action) -> Result<bool, StopReason> {
         let mut expected = progress.models.clone();
         apply(&mut expected, action);
-        for _ in 0..LOAD_REPORTS {
+        for _ in 0..MAX_LOAD_REPORTS {
             let report = self.report(progress)?;
             if report.orders <= progress.orders {
                 return Ok(false);
@@ -334,23 +349,28 @@
                     return Ok(true);
                 }
                 progress.models = report.models;
-                return Err(Stopped::Overtaken);
+                return Err(StopReason::Overtaken);
             }
-            self.pause(LOAD_LOOK);
+            self.pause(LOAD_POLL_INTERVAL);
         }
-        Err(Stopped::Silent)
+        Err(StopReason::Unresponsive)
     }
 
-    /// An adapter that is removed at once counts as an order; what already holds does not.
-    fn settle_done(&self, progress: &mut Progress, action: &Action) {
+    /// Counts an order that the target reported as done: the immediate removal of an adapter counts
+    /// as an accepted order, an order whose result already existed does not.
+    fn count_done(&self, progress: &mut Progress, action: &Action) {
         if let Action::Remove { adapter: Some(_), .. } = action {
             progress.orders += 1;
         }
     }
 
-    /// Gives the task up if the target has accepted other orders than this task counts. A report
-    /// that says fewer may be old, unless the orders before it are long since settled.
-    fn check_count(&self, progress: &mut Progress, is_settled: bool) -> Result<(), Stopped> {
+    /// Abandons the task if the target's order count differs from this task's. A report with a
+    /// lower count may be out of date, unless enough time has passed since the previous orders.
+    fn check_order_count(
+        &self,
+        progress: &mut Progress,
+        is_settled: bool,
+    ) -> Result<(), StopReason> {
         let report = self.report(progress)?;
         let may_be_old = report.orders < progress.orders && !is_settled;
         if report.orders == progress.orders || may_be_old {
@@ -360,24 +380,25 @@
         if !report.busy {
             progress.models = report.models;
         }
-        Err(Stopped::Overtaken)
+        Err(StopReason::Overtaken)
     }
 
-    fn report(&self, progress: &Progress) -> Result<Report, Stopped> {
+    fn report(&self, progress: &Progress) -> Result<Report, StopReason> {
         let report = self.targets.report(&progress.target).map_err(|e| {
-            log::debug!("{} did not report: {e}", progress.target.name);
-            Stopped::Silent
+            log::debug!("target {} did not send a report: {e}", progress.target.name);
+            StopReason::Unresponsive
         })?;
         let is_same = target::may_be_same_run(progress.target.born, report.born);
-        if is_same { Ok(report) } else { Err(Stopped::Restarted) }
+        if is_same { Ok(report) } else { Err(StopReason::Restarted) }
     }
 
-    /// Takes what the task knows of the target into this daemon's view, from where all are told.
+    /// Updates this daemon's view with the target's models, as an override that is then sent to all
+    /// daemons.
     fn publish(&self, progress: &Progress, models: Vec<Held>) {
         let (fence, revision) = {
             let mut ledger = self.ledger();
-            ledger.notes += 1;
-            (ledger.fence, ledger.notes)
+            ledger.override_revision += 1;
+            (ledger.fence, ledger.override_revision)
         };
         let now = self.now();
         let mut fleet = self.state.fleet();
@@ -389,7 +410,7 @@
         self.state.view_changed();
     }
 
-    fn pause(&self, span: Duration) {
-        self.state.clock.sleep(span);
+    fn pause(&self, duration: Duration) {
+        self.state.clock.sleep(duration);
     }
 }
--- a/crates/tansyknot-fleet/src/task/effect.rs
+++ b/crates/tansyknot-fleet/src/task/effect.rs
@@ -1,26 +1,27 @@
-//! What orders do to what a target holds.
+//! The effect of orders on a target's loaded models.
 
 use tansyknot_core::name::ModelName;
 
 use crate::{outside::Action, target::Held};
 
-/// Tells whether two lists have the same models and adapters, in whatever order.
+/// Returns whether two lists contain the same models and adapters, in any order.
 pub(super) fn same_models(a: &[Held], b: &[Held]) -> bool {
-    let is_in = |h: &Held, others: &[Held]| {
+    let is_contained = |h: &Held, others: &[Held]| {
         let found = others.iter().find(|o| o.model == h.model);
         found.is_some_and(|o| {
             o.adapters.len() == h.adapters.len()
                 && h.adapters.iter().all(|a| o.adapters.contains(a))
         })
     };
-    a.len() == b.len() && a.iter().all(|h| is_in(h, b))
+    a.len() == b.len() && a.iter().all(|h| is_contained(h, b))
 }
 
-pub(super) fn without(models: &[Held], model: &ModelName) -> Vec<Held> {
+/// Returns the loaded models other than `model`.
+pub(super) fn models_without(models: &[Held], model: &ModelName) -> Vec<Held> {
     models.iter().filter(|h| h.model != *model).cloned().collect()
 }
 
-/// Changes what a target holds as an action that has been carried out does.
+/// Applies an executed action to the loaded models of a target.
 pub(super) fn apply(models: &mut Vec<Held>, action: &Action) {
     match action {
         Action::Load { model, adapter: None } => {
@@ -40,6 +41,7 @@
     }
 }
 
+/// Returns a short description of an action, for events.
 pub(super) fn describe(action: &Action) -> String {
     let (verb, model, adapter) = match action {
         Action::Load { model, adapter } => ("load", model, adapter),
--- a/crates/tansyknot-fleet/src/task/load.rs
+++ b/crates/tansyknot-fleet/src/task/load.rs
@@ -1,4 +1,4 @@
-//! Seeing that a load is done.
+//! Waiting for the end of a load.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -7,26 +7,26 @@
     name::{ModelName, TargetName},
 };
 
-use super::{LOAD_LOOK, LOAD_REPORTS, Orders, Progress, Stopped};
+use super::{LOAD_POLL_INTERVAL, MAX_LOAD_REPORTS, Orders, Progress, StopReason};
 
-/// Looks at the list before a load that should be done is looked for in a report.
-const LIST_LOOKS: u32 = 7;
+/// Number of checks of the list of targets before reports of the target are requested.
+const MAX_LIST_POLLS: u32 = 7;
 
 impl Orders {
-    /// Waits until the list of targets, or the target itself, says that the model is there.
+    /// Waits until the list of targets, or a report of the target, shows the model as loaded.
     pub(super) fn await_load(
         &self,
         progress: &Progress,
         model: &ModelName,
-        takes: Duration,
-    ) -> Result<(), Stopped> {
+        expected: Duration,
+    ) -> Result<(), StopReason> {
         let began = self.now();
-        self.pause(takes);
+        self.pause(expected);
         self.due.fetch_add(1, Ordering::SeqCst);
         self.state.demand_changed.raise();
-        let loaded = self.look_for(progress, model);
+        let is_loaded = self.poll_until_loaded(progress, model);
         self.due.fetch_sub(1, Ordering::SeqCst);
-        if loaded {
+        if is_loaded {
             self.recorder.time(
                 metric::LOAD.name,
                 &progress.target.service,
@@ -35,22 +35,23 @@
             event::FLEET_TASK_DONE.emit(&[
                 ("target", &progress.target.name),
                 ("model", model),
-                ("expected_ms", &takes.as_millis()),
+                ("expected_ms", &expected.as_millis()),
             ]);
             return Ok(());
         }
-        Err(Stopped::NotLoaded)
+        Err(StopReason::NotLoaded)
     }
 
-    fn look_for(&self, progress: &Progress, model: &ModelName) -> bool {
-        for _ in 0..LIST_LOOKS {
+    /// Polls the list of targets, then reports of the target; returns whether the model is loaded.
+    fn poll_until_loaded(&self, progress: &Progress, model: &ModelName) -> bool {
+        for _ in 0..MAX_LIST_POLLS {
             let seen = self.state.targets_changed.count();
             if self.is_listed(&progress.target.name, model) {
                 return true;
             }
-            self.state.targets_changed.wait(seen, LOAD_LOOK);
+            self.state.targets_changed.wait(seen, LOAD_POLL_INTERVAL);
         }
-        for _ in 0..LOAD_REPORTS {
+        for _ in 0..MAX_LOAD_REPORTS {
             if self.is_listed(&progress.target.name, model) {
                 return true;
             }
@@ -60,7 +61,7 @@
                 Ok(_) => {}
                 Err(_) => return false,
             }
-            self.pause(LOAD_LOOK);
+            self.pause(LOAD_POLL_INTERVAL);
         }
         false
     }
