--- a/crates/tansyknot-fleet/src/counted.rs
+++ b/crates/tansyknot-fleet/src/counted.rs
@@ -10,19 +10,19 @@
     target::Target,
 };
 
-/// A store whose calls go into figures: how many, how many without an answer, how long they took.
+/// A store client that records the number, failures and durations of its calls as metrics.
 pub struct CountedStore {
     store: Arc<dyn Store>,
     recorder: Arc<dyn Recorder>,
 }
 
 impl CountedStore {
-    /// Counts the calls to `store`.
+    /// Creates a client that records the calls to `store`.
     pub fn new(store: Arc<dyn Store>, recorder: Arc<dyn Recorder>) -> Self {
         Self { store, recorder }
     }
 
-    fn counted<T>(
+    fn recorded<T>(
         &self,
         kind: &'static str,
         call: impl FnOnce(&dyn Store) -> Result<T>,
@@ -42,15 +42,15 @@
 
 impl Store for CountedStore {
     fn targets(&self, within: Duration) -> Result<(Vec<Target>, u64)> {
-        self.counted("all_targets", |s| s.targets(within))
+        self.recorded("all_targets", |s| s.targets(within))
     }
 
     fn target_changes(&self, version: u64) -> Result<TargetNews> {
-        self.counted("target_changes", |s| s.target_changes(version))
+        self.recorded("target_changes", |s| s.target_changes(version))
     }
 
     fn catalog(&self, within: Duration) -> Result<(Option<Catalog>, u64)> {
-        self.counted("config", |s| s.catalog(within))
+        self.recorded("config", |s| s.catalog(within))
     }
 
     fn catalog_changes(
@@ -58,7 +58,7 @@
         version: u64,
         wait: Duration,
     ) -> Result<Option<(Option<Catalog>, u64)>> {
-        self.counted("config_changes", |s| s.catalog_changes(version, wait))
+        self.recorded("config_changes", |s| s.catalog_changes(version, wait))
     }
 
     fn row(&self, name: RowName) -> Result<Option<OwnRow>> {
@@ -66,7 +66,7 @@
             RowName::Planner => "read_planner",
             RowName::Poison => "read_poison",
         };
-        self.counted(kind, |s| s.row(name))
+        self.recorded(kind, |s| s.row(name))
     }
 
     fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<Written> {
@@ -74,7 +74,7 @@
             RowName::Planner => "write_planner",
             RowName::Poison => "write_poison",
         };
-        let written = self.counted(kind, |s| s.write_row(name, expected, value))?;
+        let written = self.recorded(kind, |s| s.write_row(name, expected, value))?;
         if matches!(written, Written::Conflict(_)) {
             self.recorder.count(metric::STORE_CONFLICTS.name, &ServiceName::from(kind), 1);
         }
--- a/crates/tansyknot-fleet/src/stop.rs
+++ b/crates/tansyknot-fleet/src/stop.rs
@@ -1,33 +1,35 @@
-//! How a planned stop uses the time between its signal and the kill.
+//! How a graceful shutdown uses the time between the stop signal and the kill.
 
 use std::time::Duration;
 
-/// After the signal to stop, new connections come for this long: two missed checks at one a
-/// second, and the margin.
-const LINGER: Duration = Duration::from_millis(2800);
-/// New connections are taken for at most this share of the time there is.
-const LINGER_SHARE: f64 = 0.6;
-/// Time kept back for the end itself.
-const END: Duration = Duration::from_millis(700);
-/// It is at most this share of the time there is: a request that is still with its target is cut
-/// only in the last sixth, which the platform allows, and half of that is for the answer's way.
-const END_SHARE: f64 = 1.0 / 12.0;
+/// New connections arrive for this long after the stop signal: two failed health checks, at one per
+/// second, and a margin.
+const ACCEPT_DURATION: Duration = Duration::from_millis(2800);
+/// Maximum share of the grace period during which new requests are accepted.
+const MAX_ACCEPT_SHARE: f64 = 0.6;
+/// Time reserved for the shutdown itself.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(700);
+/// Maximum share of the grace period reserved for the shutdown itself. The platform allows requests
+/// at their targets to be cut off only in the last sixth of the grace period, and half of that
+/// sixth is for the response's transit.
+const MAX_SHUTDOWN_RESERVE_SHARE: f64 = 1.0 / 12.0;
 
-/// What a planned stop does when, counted from its signal.
+/// Times of the steps of a graceful shutdown, counted from the stop signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
-    /// Requests that still wait for a target, and new ones, are refused from here on.
+    /// Requests that still wait for a target, and new ones, are refused from this time on.
     pub refuse_after: Duration,
-    /// Requests that are with a target are cut here.
+    /// Requests in progress at a target are cut off at this time.
     pub cut_after: Duration,
 }
 
 impl StopPlan {
-    /// Plans a stop that is killed after `grace`.
+    /// Plans the shutdown of a process that is killed after `grace`.
     pub fn of(grace: Duration) -> Self {
         Self {
-            refuse_after: LINGER.min(grace.mul_f64(LINGER_SHARE)),
-            cut_after: grace.saturating_sub(END.min(grace.mul_f64(END_SHARE))),
+            refuse_after: ACCEPT_DURATION.min(grace.mul_f64(MAX_ACCEPT_SHARE)),
+            cut_after: grace
+                .saturating_sub(SHUTDOWN_RESERVE.min(grace.mul_f64(MAX_SHUTDOWN_RESERVE_SHARE))),
         }
     }
 }
