--- a/crates/tansyknot-fleet/src/stop.rs
+++ b/crates/tansyknot-fleet/src/stop.rs
@@ -5,7 +5,7 @@
 /// New connections arrive for this long after the stop signal: two failed health checks, at one per
 /// second, and a margin.
 const ACCEPT_DURATION: Duration = Duration::from_millis(2800);
-/// Maximum share of the grace period during which new requests are accepted.
+/// Maximum share of the grace period during which new connections are accepted.
 const MAX_ACCEPT_SHARE: f64 = 0.6;
 /// Time reserved for the shutdown itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(700);
--- a/crates/tansyknot-fleet/src/task.rs
+++ b/crates/tansyknot-fleet/src/task.rs
@@ -67,7 +67,8 @@
     pub ledger: Mutex<Ledger>,
 }
 
-/// The orders that targets have accepted under one fencing token, and the models loaded since.
+/// The number of orders that each target has accepted under one fencing token, and its loaded
+/// models after them.
 ///
 /// The ledger takes precedence over the list of targets, which may be seconds old: as long as a
 /// target has accepted no more orders than the ledger records, its loaded models are those in the
