--- a/crates/tansyknot-fleet/src/budget.rs
+++ b/crates/tansyknot-fleet/src/budget.rs
@@ -1,110 +1,113 @@
-//! The retry budget of a service: second sends are a bounded share of first ones.
+//! The retry budget of a service: retries are bounded by a share of first sends.
 
 use std::{collections::VecDeque, time::Duration};
 
 use tansyknot_core::clock::Time;
 
-/// Bounds on second sends, over all daemons together.
+/// Bounds on retries, over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetOptions {
-    /// Second sends for each first one.
+    /// Retries allowed per first send.
     pub ratio: f64,
-    /// Second sends beyond that in one window, shared by all daemons.
+    /// Additional retries per window, shared by all daemons.
     pub slack: f64,
-    /// The sliding window that is counted.
+    /// The sliding window in which sends are counted.
     pub window: Duration,
 }
 
-/// The share of the bound that a daemon uses once it has run for a window. The rest is for runs that
-/// have just started, as their windows do not begin with those of the runs before.
-const USED_SHARE: f64 = 0.85;
+/// The share of the bound that a daemon uses once it has run for a full window. The rest is for
+/// daemons that have just started, as their windows do not include the sends of their previous
+/// processes.
+const SETTLED_SHARE: f64 = 0.85;
 
-/// What one daemon's part of the bound depends on.
+/// The inputs of one daemon's allotment of the bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Part {
-    /// The most daemons that it has known of at once; 0 if it knows of none yet.
+    /// The highest number of daemons reported to it so far; 0 if none was reported yet.
     pub daemons: usize,
-    /// How long it has run.
+    /// How long the daemon has been running.
     pub running: Duration,
 }
 
 impl Part {
-    /// Tells whether the daemon has run for a whole window.
+    /// Returns whether the daemon has run for a full window.
     ///
-    /// The last run may have spent all that it might just before it ended, the ratio for requests of
-    /// the window before with it. So a daemon that has not run for a window has no slack, and for
-    /// what comes meanwhile the share of the ratio that longer runs don't use. Six daemons that
-    /// were killed together made 194 second sends in 10 s where 142 are allowed while each had
-    /// the slack once more, and nine made 248 of 245 while each had the whole ratio
-    /// (docs/incidents).
+    /// The daemon's previous process may have spent its whole allotment just before it ended,
+    /// including the ratio for the requests of that window. So a daemon that has not run for a
+    /// window has no slack, and for its first sends only the share of the ratio that settled
+    /// daemons leave unused. With their full slack after a restart, six daemons that were killed
+    /// together made 194 retries in 10 s where 142 were allowed; with the full ratio, nine made 248
+    /// where 245 were allowed.
     fn is_settled(&self, options: &BudgetOptions) -> bool {
         self.running >= options.window
     }
 
-    /// Returns the second sends that a first one allows.
+    /// Returns the retries that one first send allows.
     fn ratio(&self, options: &BudgetOptions) -> f64 {
-        let share = if self.is_settled(options) { USED_SHARE } else { 1.0 - USED_SHARE };
+        let share = if self.is_settled(options) { SETTLED_SHARE } else { 1.0 - SETTLED_SHARE };
         options.ratio * share
     }
 
-    /// Returns its part of the slack; none before it knows the others.
+    /// Returns the daemon's share of the slack; zero while the number of daemons is unknown.
     fn slack(&self, options: &BudgetOptions) -> f64 {
         if self.daemons == 0 || !self.is_settled(options) {
             return 0.0;
         }
-        options.slack / self.daemons as f64 * USED_SHARE
+        options.slack / self.daemons as f64 * SETTLED_SHARE
     }
 }
 
-/// Second sends of one daemon to a service.
+/// Retries of one daemon to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retries {
-    /// Within the last window.
+    /// Retries made within the last window.
     pub spent: usize,
-    /// How many there may be.
+    /// Retries allowed within a window.
     pub allowed: f64,
 }
 
-/// Sends of one service within the last window.
+/// Sends of one daemon to a service within the last window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    /// First sends, and how many second ones each allows.
-    first: VecDeque<(Time, f64)>,
-    again: VecDeque<Time>,
+    /// Times of first sends, and the retries that each allows.
+    first_sends: VecDeque<(Time, f64)>,
+    /// Times of retries.
+    retry_times: VecDeque<Time>,
 }
 
 impl Budget {
-    /// Counts the first send of a request by a daemon with `part`.
-    pub fn first(&mut self, now: Time, part: Part, options: &BudgetOptions) {
-        self.forget(now, options);
-        self.first.push_back((now, part.ratio(options)));
+    /// Counts the first send of a request by a daemon with `allotment`.
+    pub fn first(&mut self, now: Time, allotment: Part, options: &BudgetOptions) {
+        self.expire(now, options);
+        self.first_sends.push_back((now, allotment.ratio(options)));
     }
 
-    /// Takes a second send; tells whether there was one left for a daemon with `part`.
-    pub fn take(&mut self, now: Time, part: Part, options: &BudgetOptions) -> bool {
-        let Retries { spent, allowed } = self.retries(now, part, options);
-        let is_left = ((spent + 1) as f64) <= allowed;
-        if is_left {
-            self.again.push_back(now);
+    /// Takes a retry if a daemon with `allotment` has one available; returns whether it had.
+    pub fn take(&mut self, now: Time, allotment: Part, options: &BudgetOptions) -> bool {
+        let Retries { spent, allowed } = self.retries(now, allotment, options);
+        let is_available = ((spent + 1) as f64) <= allowed;
+        if is_available {
+            self.retry_times.push_back(now);
         }
-        is_left
+        is_available
     }
 
-    /// Returns the second sends within the window, and how many a daemon with `part` may make.
-    pub fn retries(&mut self, now: Time, part: Part, options: &BudgetOptions) -> Retries {
-        self.forget(now, options);
-        let by_ratio: f64 = self.first.iter().map(|(_, allows)| allows).sum();
-        let allowed = by_ratio + part.slack(options);
-        Retries { spent: self.again.len(), allowed }
+    /// Returns the retries made within the window, and how many a daemon with `allotment` may make.
+    pub fn retries(&mut self, now: Time, allotment: Part, options: &BudgetOptions) -> Retries {
+        self.expire(now, options);
+        let by_ratio: f64 =
+            self.first_sends.iter().map(|(_, allowed_retries)| allowed_retries).sum();
+        let allowed = by_ratio + allotment.slack(options);
+        Retries { spent: self.retry_times.len(), allowed }
     }
 
-    fn forget(&mut self, now: Time, options: &BudgetOptions) {
-        let is_old = |at: &Time| now.since(*at) > options.window;
-        while self.first.front().is_some_and(|(at, _)| is_old(at)) {
-            self.first.pop_front();
+    fn expire(&mut self, now: Time, options: &BudgetOptions) {
+        let is_expired = |at: &Time| now.since(*at) > options.window;
+        while self.first_sends.front().is_some_and(|(at, _)| is_expired(at)) {
+            self.first_sends.pop_front();
         }
-        while self.again.front().is_some_and(is_old) {
-            self.again.pop_front();
+        while self.retry_times.front().is_some_and(is_expired) {
+            self.retry_times.pop_front();
         }
     }
 }
