--- a/crates/tansyknot-fleet/src/exchange.rs
+++ b/crates/tansyknot-fleet/src/exchange.rs
@@ -1,8 +1,8 @@
-//! One request to one target over a connection of its own, and the answer's head and body.
+//! One request to one target over a connection of its own, and the head and body of the response.
 //!
-//! Each exchange has a fresh connection: no byte of an earlier answer can be taken for this one,
-//! and "nothing was sent" is known for sure. While it waits for the target it watches the caller,
-//! so that the target is let go at once when the caller leaves.
+//! Each exchange opens a new connection: no byte of an earlier response can be taken for this one,
+//! and a failure to connect proves that nothing was sent. While an exchange waits for the target it
+//! watches the caller's connection, and it closes the target's at once when the caller leaves.
 
 use std::{
     cell::Cell,
@@ -23,23 +23,23 @@
 
 use crate::poison::Presence;
 
-/// How long a connection to a target may take to open; a round trip takes a few ms.
+/// Timeout for opening a connection to a target; a round trip takes a few ms.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a target may take to show whether anybody listens there. A refusal takes a round trip,
-/// 2 ms on the users' networks; requests that it has cut off wait for this before they go elsewhere.
+/// Timeout for probing whether a process listens at a target's address. A refusal takes one round
+/// trip (2 ms). Requests whose connection closed early wait for the probe before they are retried.
 pub const LOOK_TIMEOUT: Duration = Duration::from_millis(100);
-/// The longest wait at once. The system's waits don't count the time in which the host is suspended,
-/// so that a deadline would be kept as much later; a target that says nothing for long costs two
-/// wake-ups a second.
-const WAIT_MOST: Duration = Duration::from_millis(500);
-/// Bytes read at once.
-const READ_SIZE: usize = 8 << 10;
-/// The longest head of an answer.
-const HEAD_MAX: usize = 64 << 10;
-/// Header lines in the head of an answer.
-const HEADERS_MAX: usize = 64;
+/// Maximum duration of one `poll` call. Its timeout does not count the time while the host is
+/// suspended, which would delay a deadline by as much; an idle target costs two wake-ups per
+/// second.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(500);
+/// Size of the read buffer in bytes.
+const READ_BUFFER_BYTES: usize = 8 << 10;
+/// Maximum size of a response head in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Maximum number of header lines in a response head.
+const MAX_HEADERS: usize = 64;
 
-/// Why an exchange has no whole answer.
+/// Why an exchange has no full response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     /// The connection could not be opened; nothing was sent.
@@ -48,31 +48,31 @@
     /// The target refused the connection; nothing was sent.
     #[error("connection refused")]
     Refused,
-    /// The target was silent for too long.
+    /// The target did not respond in time.
     #[error("silent")]
-    Silent,
+    TimedOut,
     /// The target closed or reset the connection.
     #[error("cut off")]
-    CutOff,
-    /// The bytes are no answer.
+    ClosedEarly,
+    /// The bytes are not a valid response.
     #[error("malformed")]
     Malformed,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     #[error("foreign answer")]
     Foreign,
     /// The caller has left.
     #[error("caller left")]
     CallerLeft,
-    /// The daemon itself has no socket left.
+    /// The daemon has no file descriptors left for a socket.
     #[error("no socket")]
     NoSocket,
-    /// Sending was no longer allowed when the connection stood.
+    /// Sending was no longer allowed once the connection was open; nothing was sent.
     #[error("not allowed")]
     NotAllowed,
 }
 
 impl Failure {
-    /// Tells whether not a byte of the request has left.
+    /// Returns whether no byte of the request was sent.
     pub fn nothing_sent(self) -> bool {
         matches!(
             self,
@@ -81,17 +81,17 @@
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
-    /// The status.
+pub struct ResponseHead {
+    /// The HTTP status.
     pub status: u16,
-    /// Names in lower case, and values.
+    /// Header names in lower case, and values.
     pub headers: Vec<(String, String)>,
     framing: Framing,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Returns the value of a header; `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
@@ -103,68 +103,69 @@
     Empty,
     Length(u64),
     Chunked,
-    ToClose,
+    UntilClose,
 }
 
-/// What the reads of one exchange share with who set it up.
+/// The deadline and the last failure of an exchange's reads, shared with the code that set it up.
 #[derive(Clone, Debug)]
 pub struct Control {
-    until: Rc<Cell<BootInstant>>,
+    deadline: Rc<Cell<BootInstant>>,
     failure: Rc<Cell<Option<Failure>>>,
 }
 
 impl Control {
-    /// Lets reads wait until `until`.
-    pub fn wait_until(&self, until: BootInstant) {
-        self.until.set(until);
+    /// Sets the deadline of the following reads.
+    pub fn set_deadline(&self, deadline: BootInstant) {
+        self.deadline.set(deadline);
     }
 
     /// Returns why the last read failed.
     pub fn failure(&self) -> Failure {
-        self.failure.get().unwrap_or(Failure::CutOff)
+        self.failure.get().unwrap_or(Failure::ClosedEarly)
     }
 }
 
-/// Decides what becomes of a target that has been silent as long as it might.
-pub trait Silence {
-    /// Returns until when to wait on, or `None` to let the target go.
-    fn wait_on(&self) -> Option<BootInstant>;
+/// Decides whether to abandon a target that has not responded by the deadline.
+pub trait TimeoutPolicy {
+    /// Returns a new deadline, or `None` to abandon the target.
+    fn on_timeout(&self) -> Option<BootInstant>;
 }
 
-/// An open exchange, from which the answer is read.
+/// An open exchange, from which the response is read.
 pub struct Exchange<'a> {
     stream: TcpStream,
-    /// The caller, as long as it is watched.
+    /// The caller's connection, while it is watched.
     caller: Option<&'a TcpStream>,
-    /// Who decides when the target is silent; without one it is let go.
-    silence: Option<&'a dyn Silence>,
+    /// Consulted when the deadline passes; without a policy the exchange fails.
+    timeout_policy: Option<&'a dyn TimeoutPolicy>,
     buf: Vec<u8>,
     control: Control,
-    end_is_failure: bool,
+    eof_is_failure: bool,
 }
 
 impl<'a> Exchange<'a> {
-    /// Connects to `address` and sends a request if `may_send` still says so then.
+    /// Connects to `address`, and sends a request if `may_send` then still allows it.
     ///
     /// # Errors
     ///
-    /// Fails if the connection can't be opened or breaks; [`Failure::nothing_sent`] tells
-    /// whether a byte may have left.
+    /// Fails if the connection cannot be opened or breaks; [`Failure::nothing_sent`] returns
+    /// whether it is certain that no byte was sent.
     pub fn open(
         address: SocketAddr,
         request: &[u8],
         caller: Option<&'a TcpStream>,
-        until: BootInstant,
+        deadline: BootInstant,
         may_send: &dyn Fn() -> bool,
     ) -> Result<Self, Failure> {
-        let left = until.duration_since(BootInstant::now());
+        let left = deadline.duration_since(BootInstant::now());
         if left.is_zero() {
             return Err(Failure::NotConnected);
         }
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT.min(left))
             .map_err(|e| connect_failure(&e))?;
-        let is_set = stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(left)));
-        is_set.map_err(|_| Failure::NotConnected)?;
+        let configured =
+            stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(left)));
+        configured.map_err(|_| Failure::NotConnected)?;
         if caller.is_some_and(presence::has_left) {
             return Err(Failure::CallerLeft);
         }
@@ -172,32 +173,39 @@
             return Err(Failure::NotAllowed);
         }
         let control =
-            Control { until: Rc::new(Cell::new(until)), failure: Rc::new(Cell::new(None)) };
-        let exchange =
-            Self { stream, caller, silence: None, buf: Vec::new(), control, end_is_failure: true };
-        (&exchange.stream).write_all(request).map_err(|_| Failure::CutOff)?;
+            Control { deadline: Rc::new(Cell::new(deadline)), failure: Rc::new(Cell::new(None)) };
+        let exchange = Self {
+            stream,
+            caller,
+            timeout_policy: None,
+            buf: Vec::new(),
+            control,
+            eof_is_failure: true,
+        };
+        (&exchange.stream).write_all(request).map_err(|_| Failure::ClosedEarly)?;
         Ok(exchange)
     }
 
-    /// Returns what bounds the reads.
+    /// Returns the control over the reads of this exchange.
     pub fn control(&self) -> Control {
         self.control.clone()
     }
 
-    /// Has `silence` decide whether to wait on when the target has been silent for too long.
-    pub fn decided_by<'b>(self, silence: &'b dyn Silence) -> Exchange<'b>
+    /// Lets `timeout_policy` decide whether to wait longer when the deadline passes.
+    pub fn with_timeout_policy<'b>(self, timeout_policy: &'b dyn TimeoutPolicy) -> Exchange<'b>
     where
         'a: 'b,
     {
-        Exchange { silence: Some(silence), ..self }
+        Exchange { timeout_policy: Some(timeout_policy), ..self }
     }
 
-    /// Reads the head of the answer.
+    /// Reads the head of the response.
     ///
     /// # Errors
     ///
-    /// Fails if the target is silent, breaks off or sends nonsense, or the caller leaves.
-    pub fn head(&mut self) -> Result<AnswerHead, Failure> {
+    /// Fails if the target does not respond in time, closes the connection or sends a malformed
+    /// head, or if the caller leaves.
+    pub fn head(&mut self) -> Result<ResponseHead, Failure> {
         loop {
             if let Some((head, length)) = parse_head(&self.buf)? {
                 self.buf.drain(..length);
@@ -206,80 +214,84 @@
                 }
                 return Ok(head);
             }
-            if self.buf.len() > HEAD_MAX {
+            if self.buf.len() > MAX_HEAD_BYTES {
                 return Err(Failure::Malformed);
             }
             if self.fill()? == 0 {
-                return Err(Failure::CutOff);
+                return Err(Failure::ClosedEarly);
             }
         }
     }
 
-    /// Returns the body that follows `head`.
-    pub fn body(mut self, head: &AnswerHead) -> Body<'a> {
+    /// Returns a reader of the body that follows `head`.
+    pub fn body(mut self, head: &ResponseHead) -> Body<'a> {
         match head.framing {
             Framing::Empty => Body::Length(self, 0),
             Framing::Length(length) => Body::Length(self, length),
             Framing::Chunked => Body::Chunked(Box::new(Decoder::new(self)), false),
-            Framing::ToClose => {
-                self.end_is_failure = false;
-                Body::ToClose(self)
+            Framing::UntilClose => {
+                self.eof_is_failure = false;
+                Body::UntilClose(self)
             }
         }
     }
 
-    /// Reads more bytes into the buffer; returns how many, zero at the end.
+    /// Reads more bytes into the buffer; returns their number, zero at the end of the stream.
     fn fill(&mut self) -> Result<usize, Failure> {
-        let mut chunk = [0; READ_SIZE];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         let n = self.receive(&mut chunk)?;
         self.buf.extend_from_slice(&chunk[..n]);
         Ok(n)
     }
 
-    /// Waits for bytes and reads them; zero at the end.
+    /// Waits for bytes and reads them; returns their number, zero at the end of the stream.
     fn receive(&mut self, out: &mut [u8]) -> Result<usize, Failure> {
         self.await_bytes().inspect_err(|f| self.control.failure.set(Some(*f)))?;
         (&self.stream).read(out).map_err(|_| {
-            self.control.failure.set(Some(Failure::CutOff));
-            Failure::CutOff
+            self.control.failure.set(Some(Failure::ClosedEarly));
+            Failure::ClosedEarly
         })
     }
 
     fn await_bytes(&mut self) -> Result<(), Failure> {
         loop {
-            let left = self.control.until.get().duration_since(BootInstant::now());
+            let left = self.control.deadline.get().duration_since(BootInstant::now());
             if left.is_zero() {
-                let until = self.silence.and_then(Silence::wait_on).ok_or(Failure::Silent)?;
-                self.control.wait_until(until);
+                let deadline = self
+                    .timeout_policy
+                    .and_then(TimeoutPolicy::on_timeout)
+                    .ok_or(Failure::TimedOut)?;
+                self.control.set_deadline(deadline);
                 continue;
             }
-            let timeout = timespec(left.min(WAIT_MOST));
+            let timeout = timespec(left.min(MAX_POLL_WAIT));
             let mut fds = Vec::with_capacity(2);
             fds.push(PollFd::new(&self.stream, PollFlags::IN));
             fds.extend(self.caller.map(|caller| PollFd::new(caller, PollFlags::IN)));
             match rustix::event::poll(&mut fds, Some(&timeout)) {
                 Err(Errno::INTR) => continue,
-                Err(_) => return Err(Failure::CutOff),
+                Err(_) => return Err(Failure::ClosedEarly),
                 Ok(_) => {}
             }
-            let target = !fds[0].revents().is_empty();
-            let caller = fds.get(1).is_some_and(|fd| !fd.revents().is_empty());
-            if caller {
+            let is_target_ready = !fds[0].revents().is_empty();
+            let is_caller_ready = fds.get(1).is_some_and(|fd| !fd.revents().is_empty());
+            if is_caller_ready {
                 if self.caller.is_some_and(presence::has_left) {
                     return Err(Failure::CallerLeft);
                 }
-                // The caller has sent its next request ahead; it can't be watched any more.
+                // The caller has pipelined its next request, so its connection stays readable and
+                // can no longer be watched.
                 self.caller = None;
             }
-            if target {
+            if is_target_ready {
                 return Ok(());
             }
         }
     }
 }
 
-/// Finds out whether anybody listens at `address`, `within` a span. A connection that is opened is
-/// closed at once.
+/// Probes whether a process listens at `address`, with the timeout `within`. An opened connection
+/// is closed at once.
 pub fn look(address: SocketAddr, within: Duration) -> Presence {
     match TcpStream::connect_timeout(&address, within) {
         Ok(_) => Presence::Listening,
@@ -288,9 +300,9 @@
     }
 }
 
-fn timespec(span: Duration) -> Timespec {
-    let tv_sec = i64::try_from(span.as_secs()).unwrap_or(i64::MAX);
-    Timespec { tv_sec, tv_nsec: i64::from(span.subsec_nanos()) }
+fn timespec(duration: Duration) -> Timespec {
+    let tv_sec = i64::try_from(duration.as_secs()).unwrap_or(i64::MAX);
+    Timespec { tv_sec, tv_nsec: i64::from(duration.subsec_nanos()) }
 }
 
 fn connect_failure(e: &io::Error) -> Failure {
@@ -311,8 +323,8 @@
         }
         if self.buf.is_empty() {
             match self.fill() {
-                Ok(0) if self.end_is_failure => {
-                    self.control.failure.set(Some(Failure::CutOff));
+                Ok(0) if self.eof_is_failure => {
+                    self.control.failure.set(Some(Failure::ClosedEarly));
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 Ok(0) => return Ok(0),
@@ -327,14 +339,14 @@
     }
 }
 
-/// The body of an answer. A read of zero bytes is its proper end; a body that breaks off fails.
+/// The body of a response. A read of zero bytes is its regular end; a truncated body fails.
 pub enum Body<'a> {
-    /// As many bytes are left.
+    /// The body has this many bytes left.
     Length(Exchange<'a>, u64),
-    /// The body comes in chunks; the flag says that the last one was read.
+    /// The body is chunked; the flag tells whether the last chunk was read.
     Chunked(Box<Decoder<Exchange<'a>>>, bool),
     /// The body ends with the connection.
-    ToClose(Exchange<'a>),
+    UntilClose(Exchange<'a>),
 }
 
 impl Read for Body<'_> {
@@ -342,8 +354,8 @@
         match self {
             Body::Length(_, 0) => Ok(0),
             Body::Length(exchange, left) => {
-                let most = usize::try_from(*left).unwrap_or(usize::MAX).min(out.len());
-                let n = exchange.read(&mut out[..most])?;
+                let max_len = usize::try_from(*left).unwrap_or(usize::MAX).min(out.len());
+                let n = exchange.read(&mut out[..max_len])?;
                 *left -= n as u64;
                 Ok(n)
             }
@@ -353,13 +365,13 @@
                 *ended = n == 0;
                 Ok(n)
             }
-            Body::ToClose(exchange) => exchange.read(out),
+            Body::UntilClose(exchange) => exchange.read(out),
         }
     }
 }
 
-fn parse_head(buf: &[u8]) -> Result<Option<(AnswerHead, usize)>, Failure> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS_MAX];
+fn parse_head(buf: &[u8]) -> Result<Option<(ResponseHead, usize)>, Failure> {
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut res = httparse::Response::new(&mut lines);
     let length = match res.parse(buf) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -373,7 +385,7 @@
     }
     let status = res.code.ok_or(Failure::Malformed)?;
     let framing = framing(status, &headers)?;
-    Ok(Some((AnswerHead { status, headers, framing }, length)))
+    Ok(Some((ResponseHead { status, headers, framing }, length)))
 }
 
 fn framing(status: u16, headers: &[(String, String)]) -> Result<Framing, Failure> {
@@ -391,6 +403,6 @@
         (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
         (Some(_), _) => Err(Failure::Malformed),
         (None, Some(length)) => length.parse().map(Framing::Length).map_err(|_| Failure::Malformed),
-        (None, None) => Ok(Framing::ToClose),
+        (None, None) => Ok(Framing::UntilClose),
     }
 }
--- a/crates/tansyknot-fleet/src/relay.rs
+++ b/crates/tansyknot-fleet/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passing a target's answer on: whole ones as a whole, streams by whole events.
+//! Relay of a target's response to the caller: a plain response in one piece, a stream in complete
+//! events.
 
 use std::{
     io::{self, Read},
@@ -12,39 +13,43 @@
     respond::{self, After, Streamed, Whole},
 };
 
-use crate::exchange::{AnswerHead, Body, Control, Failure};
+use crate::exchange::{Body, Control, Failure, ResponseHead};
 
-/// A whole answer may be this long.
-const WHOLE_MAX: u64 = 32 << 20;
-/// An event longer than this is malformed.
-const EVENT_MAX: usize = 4 << 20;
-/// Bytes read from a stream at once.
-const READ_SIZE: usize = 8 << 10;
+/// Maximum body of a response that is not a stream, in bytes.
+const MAX_BODY_BYTES: u64 = 32 << 20;
+/// Maximum size of an event in bytes; a longer one is malformed.
+const MAX_EVENT_BYTES: usize = 4 << 20;
+/// Size of the read buffer of a stream in bytes.
+const READ_BUFFER_BYTES: usize = 8 << 10;
 
-fn headers(head: &AnswerHead) -> Vec<(String, String)> {
-    let is_passed = |(name, _): &&(String, String)| name != "content-type";
-    head::end_to_end(&head.headers).filter(is_passed).cloned().collect()
+fn headers(head: &ResponseHead) -> Vec<(String, String)> {
+    let is_forwarded = |(name, _): &&(String, String)| name != "content-type";
+    head::end_to_end(&head.headers).filter(is_forwarded).cloned().collect()
 }
 
-fn content_type(head: &AnswerHead) -> String {
+fn content_type(head: &ResponseHead) -> String {
     head.header("content-type").unwrap_or("application/octet-stream").to_owned()
 }
 
-/// Tells whether an answer is a stream of events.
-pub fn is_stream(head: &AnswerHead) -> bool {
+/// Returns whether a response is an event stream.
+pub fn is_stream(head: &ResponseHead) -> bool {
     head.header("content-type").is_some_and(|v| v.starts_with("text/event-stream"))
 }
 
-/// Reads a whole answer.
+/// Reads a full response.
 ///
 /// # Errors
 ///
-/// Fails if it breaks off or is too long.
-pub fn read_whole(head: &AnswerHead, body: Body<'_>, control: &Control) -> Result<Whole, Failure> {
+/// Fails if the response breaks off or is too long.
+pub fn read_response(
+    head: &ResponseHead,
+    body: Body<'_>,
+    control: &Control,
+) -> Result<Whole, Failure> {
     let mut bytes = Vec::new();
-    let read = body.take(WHOLE_MAX + 1).read_to_end(&mut bytes);
+    let read = body.take(MAX_BODY_BYTES + 1).read_to_end(&mut bytes);
     read.map_err(|_| control.failure())?;
-    if bytes.len() as u64 > WHOLE_MAX {
+    if bytes.len() as u64 > MAX_BODY_BYTES {
         return Err(Failure::Malformed);
     }
     Ok(Whole {
@@ -55,96 +60,97 @@
     })
 }
 
-/// Limits on the waits of a stream.
+/// Time limits for a target's response.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// The first event must be there by then.
-    pub first: BootInstant,
-    /// Each further one must follow within this span.
+pub struct ResponseTimeouts {
+    /// The deadline of the response head, and of the first event or a plain response's body.
+    pub first_by: BootInstant,
+    /// Maximum gap between two events.
     pub gap: Duration,
-    /// Nothing is waited for after this.
-    pub until: BootInstant,
+    /// The deadline of the request as a whole.
+    pub deadline: BootInstant,
 }
 
-/// Where a caller's stream is, over all targets that have contributed to it.
+/// The state of a caller's stream, across all targets that have contributed to it.
 #[derive(Default)]
 pub struct EventRelay {
     out: Option<Streamed>,
-    /// The identifier of the last event passed on.
+    /// The identifier of the last event relayed.
     pub last_id: Option<String>,
-    /// When the first event was passed on.
+    /// When the first event was relayed.
     pub first_at: Option<BootInstant>,
-    /// Events passed on.
+    /// Number of events relayed.
     pub events: u64,
-    /// When the last event was passed on.
+    /// When the last event was relayed.
     pub last_at: Option<BootInstant>,
-    /// The longest pause between two events that were passed on.
+    /// The longest gap between two relayed events.
     pub longest_gap: Duration,
 }
 
-/// How the caller takes a stream.
+/// The caller's connection, and how it takes a response.
 #[derive(Clone, Copy, Debug)]
-pub struct CallerSide<'a> {
+pub struct CallerConnection<'a> {
     /// The connection.
     pub stream: &'a TcpStream,
-    /// Whether the caller understands chunks.
+    /// Whether the caller supports HTTP/1.1 and so the chunked encoding.
     pub http_1_1: bool,
-    /// What the connection does after the answer.
+    /// What becomes of the connection after the response.
     pub after: After,
 }
 
 impl EventRelay {
-    /// Tells whether the caller has been sent any byte.
+    /// Returns whether any byte has been sent to the caller.
     pub fn has_begun(&self) -> bool {
         self.out.is_some()
     }
 
-    /// Passes events on until the body ends; the caller sees nothing before the first event.
+    /// Relays events until the body ends; the caller receives nothing before the first event.
     ///
     /// # Errors
     ///
-    /// Fails if the target breaks off or is silent for too long, or the caller leaves.
-    pub fn pass(
+    /// Fails if the target closes the connection early or exceeds a time limit, or if the caller
+    /// leaves.
+    pub fn forward_events(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
         mut body: Body<'_>,
         control: &Control,
-        caller: CallerSide<'_>,
-        patience: Patience,
+        caller: CallerConnection<'_>,
+        timeouts: ResponseTimeouts,
     ) -> Result<(), Failure> {
         let mut pending = Vec::new();
-        let mut buf = [0; READ_SIZE];
-        control.wait_until(patience.first.min(patience.until));
+        let mut buf = [0; READ_BUFFER_BYTES];
+        control.set_deadline(timeouts.first_by.min(timeouts.deadline));
         loop {
             let n = body.read(&mut buf).map_err(|_| control.failure())?;
             if n == 0 {
                 return self.end(head, &pending, caller);
             }
             pending.extend_from_slice(&buf[..n]);
-            if pending.len() > EVENT_MAX {
+            if pending.len() > MAX_EVENT_BYTES {
                 return Err(Failure::Malformed);
             }
             let Some(end) = events::last_end(&pending) else { continue };
             self.send(head, &pending[..end], caller)?;
             pending.drain(..end);
-            control.wait_until((BootInstant::now() + patience.gap).min(patience.until));
+            control.set_deadline((BootInstant::now() + timeouts.gap).min(timeouts.deadline));
         }
     }
 
     fn end(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
         pending: &[u8],
-        caller: CallerSide<'_>,
+        caller: CallerConnection<'_>,
     ) -> Result<(), Failure> {
         if !pending.is_empty() {
-            return Err(Failure::CutOff);
+            return Err(Failure::ClosedEarly);
         }
-        // A stream without any event is still an answer.
+        // A stream without events is still a valid response.
         self.begin(head, caller).map_err(|_| Failure::CallerLeft)
     }
 
-    fn begin(&mut self, head: &AnswerHead, caller: CallerSide<'_>) -> io::Result<()> {
+    fn begin(&mut self, head: &ResponseHead, caller: CallerConnection<'_>) -> io::Result<()> {
         if self.out.is_none() {
             let out = respond::start_stream(
                 caller.stream,
@@ -161,26 +167,26 @@
 
     fn send(
         &mut self,
-        head: &AnswerHead,
-        whole: &[u8],
-        caller: CallerSide<'_>,
+        head: &ResponseHead,
+        complete_events: &[u8],
+        caller: CallerConnection<'_>,
     ) -> Result<(), Failure> {
         self.begin(head, caller).map_err(|_| Failure::CallerLeft)?;
         let Some(out) = &mut self.out else { return Err(Failure::CallerLeft) };
-        out.send(whole).map_err(|_| Failure::CallerLeft)?;
+        out.send(complete_events).map_err(|_| Failure::CallerLeft)?;
         let now = BootInstant::now();
         let gap = self.last_at.map_or(Duration::ZERO, |at| now.duration_since(at));
         self.longest_gap = self.longest_gap.max(gap);
         self.last_at = Some(now);
         self.first_at.get_or_insert(now);
-        self.events += events::count(whole);
-        if let Some(id) = events::last_id(whole) {
+        self.events += events::count(complete_events);
+        if let Some(id) = events::last_id(complete_events) {
             self.last_id = Some(id);
         }
         Ok(())
     }
 
-    /// Ends the caller's stream cleanly.
+    /// Ends the caller's stream as complete.
     pub fn finish(&mut self) {
         if let Some(out) = self.out.take() {
             out.end();
--- a/crates/tansyknot-fleet/src/serve.rs
+++ b/crates/tansyknot-fleet/src/serve.rs
@@ -1,4 +1,5 @@
-//! The path of a request: route, pick a target, exchange, relay, account.
+//! Request handling: routing, target selection, exchange with the target, relay of the response,
+//! and accounting.
 
 mod access;
 mod attempt;
@@ -31,22 +32,22 @@
     exchange::Failure,
     outside::{Ask, Dialect},
     poison::key::RequestKey,
-    relay::{CallerSide, EventRelay},
+    relay::{CallerConnection, EventRelay},
     state::State,
     target::Target,
 };
 
-use access::Asker;
+use access::Identity;
 pub use run::Reason;
-use run::{Ended, NotRun, Refused, Run, Sent};
-use sample::Sample;
+use run::{ActiveRequest, Ended, NotRun, Refusal, SendOutcome};
+use sample::LogRateLimit;
 
-/// The longest time that a request without one of its own may take.
+/// Time limit of a request that names no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-/// Sends of one request, the first included.
-const SENDS_MAX: u32 = 4;
+/// Maximum number of sends of one request, including the first.
+const MAX_SENDS: u32 = 4;
 
-/// Serves requests from the targets of the fleet.
+/// Forwards callers' requests to the targets of the fleet.
 pub struct Server {
     state: Arc<State>,
     dialect: Arc<dyn Dialect>,
@@ -54,12 +55,12 @@
     permits: Arc<dyn Permits>,
     recorder: Arc<dyn Recorder>,
     lifecycle: Arc<Lifecycle>,
-    floods: Sample,
-    malformed: Sample,
+    refusal_logs: LogRateLimit,
+    malformed_logs: LogRateLimit,
 }
 
 impl Server {
-    /// Makes a server on the shared state.
+    /// Creates a server on the shared state.
     pub fn new(
         state: Arc<State>,
         dialect: Arc<dyn Dialect>,
@@ -68,12 +69,12 @@
         recorder: Arc<dyn Recorder>,
         lifecycle: Arc<Lifecycle>,
     ) -> Self {
-        let (floods, malformed) = (Sample::default(), Sample::default());
-        Self { state, dialect, quotas, permits, recorder, lifecycle, floods, malformed }
+        let (refusal_logs, malformed_logs) = (LogRateLimit::default(), LogRateLimit::default());
+        Self { state, dialect, quotas, permits, recorder, lifecycle, refusal_logs, malformed_logs }
     }
 
-    /// Finds where a request goes, and whose it is.
-    fn route(&self, head: &Head, ask: &Ask, arrived: Time) -> Result<Routed, Reason> {
+    /// Resolves the route, the service and the team of a request.
+    fn route(&self, head: &Head, params: &Ask, arrived: Time) -> Result<Routed, Reason> {
         if self.lifecycle.is_ending() {
             return Err(Reason::Stopping);
         }
@@ -81,37 +82,37 @@
         let catalog = catalog.ok_or(Reason::NoConfiguration)?;
         let host = head.header("host").unwrap_or("");
         let route = find_route(&catalog, host, &head.path).ok_or(Reason::NoRoute)?;
-        let draw = xxhash_rust::xxh3::xxh3_64(ask.id.as_bytes());
-        let service = route.service(draw).cloned().ok_or(Reason::NoRoute)?;
-        let asker = self.identify(head, &route, &catalog, &view, arrived)?;
-        Ok(Routed { route, service, asker })
+        let hash = xxhash_rust::xxh3::xxh3_64(params.id.as_bytes());
+        let service = route.service(hash).cloned().ok_or(Reason::NoRoute)?;
+        let identity = self.identify(head, &route, &catalog, &view, arrived)?;
+        Ok(Routed { route, service, identity })
     }
 
-    /// Refuses a request before any target was looked for.
+    /// Refuses a request before a target is selected for it.
     fn refuse_on_arrival(
         &self,
         req: &Request,
-        ask: &Ask,
-        refused: Refused,
+        params: &Ask,
+        refusal: Refusal,
         stream: &mut TcpStream,
         after: After,
     ) -> io::Result<After> {
-        let Refused { reason, come_back } = refused;
-        if !reason.comes_in_floods() || self.floods.admits(self.state.now()) {
-            self.log_refusal(req, ask, reason);
+        let Refusal { reason, retry_after } = refusal;
+        if !reason.may_flood_logs() || self.refusal_logs.admits(self.state.now()) {
+            self.log_refusal(req, params, reason);
         }
-        let of = ServiceName::from(reason.name());
-        self.recorder.count(metric::REFUSED_ON_ARRIVAL.name, &of, 1);
-        self.refuse(&ask.id, reason, come_back, stream, after)
+        let label = ServiceName::from(reason.name());
+        self.recorder.count(metric::REFUSED_ON_ARRIVAL.name, &label, 1);
+        self.refuse(&params.id, reason, retry_after, stream, after)
     }
 
-    fn log_refusal(&self, req: &Request, ask: &Ask, reason: Reason) {
+    fn log_refusal(&self, req: &Request, params: &Ask, reason: Reason) {
         let (catalog, view) = self.state.in_force();
         let version = catalog.map_or(0, |c| c.version);
         let now = self.state.now();
         let keys_age = view.as_of(version).map(|at| now.since(at).as_millis());
         event::FLEET_REFUSED.emit(&[
-            ("request", &ask.id),
+            ("request", &params.id),
             ("reason", &reason.name()),
             ("path", &req.head.path),
             ("config", &version),
@@ -119,93 +120,95 @@
         ]);
     }
 
-    fn serve(&self, run: &mut Run<'_>) -> Ended {
+    fn serve(&self, request: &mut ActiveRequest<'_>) -> Ended {
         let now = self.state.now();
-        if self.state.poison().is_convicted(run.key) {
-            run.is_trial = self.state.begin_trial(run.key);
+        if self.state.poison().is_convicted(request.key) {
+            request.is_trial = self.state.begin_trial(request.key);
         }
-        self.state.fleet().arrived(&run.want(), now);
+        self.state.fleet().arrived(&request.want(), now);
         loop {
-            let target = match self.next_target(run) {
+            let target = match self.next_target(request) {
                 Ok(target) => target,
-                Err(reason) => return self.give_up(run, reason),
+                Err(reason) => return self.give_up(request, reason),
             };
-            let sent = self.send(run, &target);
-            self.leave(run, &target);
-            if matches!(sent, Sent::NotRun(NotRun::Withheld)) {
-                // Nothing has gone there, and it may be chosen again once it takes requests.
+            let outcome = self.send(request, &target);
+            self.release_target(request, &target);
+            if matches!(outcome, SendOutcome::NotRun(NotRun::Withheld)) {
+                // Nothing was sent, so the target may be selected again once it accepts requests.
                 continue;
             }
-            run.sends += 1;
-            run.is_trial = false;
-            run.tried.push(target.name.clone());
-            match sent {
-                Sent::Passed(status) => {
-                    run.relay.finish();
-                    return Ended::Answered { status, after: run.caller.after };
+            request.sends += 1;
+            request.is_trial = false;
+            request.tried.push(target.name.clone());
+            match outcome {
+                SendOutcome::Relayed(status) => {
+                    request.relay.finish();
+                    return Ended::Answered { status, after: request.caller.after };
                 }
-                Sent::NotRun(_) => {}
-                Sent::Failure(whole) => {
-                    run.may_have_run = true;
-                    run.fallback = Some(whole);
-                    if !run.may_run_again() {
-                        return self.give_up(run, Reason::TargetFailed);
+                SendOutcome::NotRun(_) => {}
+                SendOutcome::ServerError(response) => {
+                    request.may_have_run = true;
+                    request.fallback = Some(response);
+                    if !request.may_run_again() {
+                        return self.give_up(request, Reason::TargetFailed);
                     }
                 }
-                Sent::MayHaveRun(Failure::CallerLeft) => return Ended::Cut(Reason::CallerLeft),
-                Sent::MayHaveRun(_) => {
-                    run.may_have_run = true;
-                    if !run.may_run_again() {
-                        return self.give_up(run, Reason::TargetFailed);
+                SendOutcome::MayHaveRun(Failure::CallerLeft) => {
+                    return Ended::Aborted(Reason::CallerLeft);
+                }
+                SendOutcome::MayHaveRun(_) => {
+                    request.may_have_run = true;
+                    if !request.may_run_again() {
+                        return self.give_up(request, Reason::TargetFailed);
                     }
                 }
             }
-            if run.sends >= SENDS_MAX {
-                return self.give_up(run, Reason::RefusedByTargets);
+            if request.sends >= MAX_SENDS {
+                return self.give_up(request, Reason::RefusedByTargets);
             }
         }
     }
 
-    /// Ends a request with the best that is there: a target's own failure, or the reason.
-    fn give_up(&self, run: &mut Run<'_>, reason: Reason) -> Ended {
+    /// Ends a request with the best result available: a target's error response, or else `reason`.
+    fn give_up(&self, request: &mut ActiveRequest<'_>, reason: Reason) -> Ended {
         if reason == Reason::CallerLeft {
-            return Ended::Cut(reason);
+            return Ended::Aborted(reason);
         }
-        if run.relay.has_begun() {
-            return Ended::Cut(Reason::StreamBroken);
+        if request.relay.has_begun() {
+            return Ended::Aborted(Reason::StreamBroken);
         }
-        if let Some(whole) = run.fallback.take() {
-            return match write(run, &whole) {
-                Ok(()) => Ended::Answered { status: whole.status, after: run.caller.after },
-                Err(_) => Ended::Cut(Reason::CallerLeft),
+        if let Some(response) = request.fallback.take() {
+            return match write_response(request, &response) {
+                Ok(()) => Ended::Answered { status: response.status, after: request.caller.after },
+                Err(_) => Ended::Aborted(Reason::CallerLeft),
             };
         }
-        let is_late = BootInstant::now() >= run.give_up_at();
+        let is_past_deadline = BootInstant::now() >= request.give_up_at();
         Ended::Refused(match reason {
-            _ if run.may_have_run && is_late => Reason::NoAnswerInTime,
-            _ if run.may_have_run => Reason::TargetFailed,
+            _ if request.may_have_run && is_past_deadline => Reason::NoAnswerInTime,
+            _ if request.may_have_run => Reason::TargetFailed,
             other => other,
         })
     }
 
-    fn leave(&self, run: &Run<'_>, target: &Target) {
-        self.state.fleet().leave(&target.name, run.ask.model.as_ref());
+    fn release_target(&self, request: &ActiveRequest<'_>, target: &Target) {
+        self.state.fleet().leave(&target.name, request.params.model.as_ref());
         self.state.targets_changed.raise();
     }
 
-    /// Returns the target of the next send, which has been counted as a first one or a retry.
-    fn next_target(&self, run: &mut Run<'_>) -> Result<Arc<Target>, Reason> {
-        if let Some(target) = run.next.take() {
+    /// Returns the target of the next send, after counting the send as the first one or as a retry.
+    fn next_target(&self, request: &mut ActiveRequest<'_>) -> Result<Arc<Target>, Reason> {
+        if let Some(target) = request.next_target.take() {
             return Ok(target);
         }
-        let target = self.find_target(run)?;
-        if run.sends == 0 {
-            if !std::mem::replace(&mut run.is_counted, true) {
-                self.state.count_first_send(&run.service);
+        let target = self.find_target(request)?;
+        if request.sends == 0 {
+            if !std::mem::replace(&mut request.is_first_send_counted, true) {
+                self.state.count_first_send(&request.service);
             }
-        } else if run.arrivals > 0 && !self.state.take_second_send(&run.service) {
-            self.leave(run, &target);
-            run.note(format_args!("retry budget empty"));
+        } else if request.transmissions > 0 && !self.state.take_second_send(&request.service) {
+            self.release_target(request, &target);
+            request.note(format_args!("retry budget empty"));
             return Err(Reason::RefusedByTargets);
         }
         Ok(target)
@@ -215,80 +218,84 @@
         &self,
         id: &str,
         reason: Reason,
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
         stream: &mut TcpStream,
         after: After,
     ) -> io::Result<After> {
-        let come_back = come_back.or_else(|| reason.retry_after(self.state.store_is_away()));
-        let headers = self.dialect.refusal(id, come_back);
+        let retry_after = retry_after.or_else(|| reason.retry_after(self.state.store_is_away()));
+        let headers = self.dialect.refusal(id, retry_after);
         let body = format!("{{\"reason\":\"{}\"}}", reason.name()).into_bytes();
         let content_type = "application/json".to_owned();
-        let whole = Whole { status: reason.status(), content_type, headers, body };
-        respond::write_whole(stream, &whole, after)?;
+        let response = Whole { status: reason.status(), content_type, headers, body };
+        respond::write_whole(stream, &response, after)?;
         Ok(after)
     }
 
-    /// Takes a request that has ended into the figures of its route.
-    fn measure(&self, run: &Run<'_>, outcome: &'static str, total: Duration) {
-        let route = ServiceName::new(Arc::clone(&run.route.name));
+    /// Records the metrics of an ended request under its route.
+    fn record_metrics(&self, request: &ActiveRequest<'_>, outcome: &'static str, total: Duration) {
+        let route = ServiceName::new(Arc::clone(&request.route.name));
         self.recorder.count(outcome, &route, 1);
         self.recorder.time(metric::REQUEST.name, &route, total);
-        if let Some(first) = run.relay.first_at {
-            self.recorder.time(metric::FIRST_EVENT.name, &route, first.duration_since(run.began));
-            self.recorder.time(metric::GAP.name, &route, run.relay.longest_gap);
+        if let Some(first) = request.relay.first_at {
+            self.recorder.time(
+                metric::FIRST_EVENT.name,
+                &route,
+                first.duration_since(request.began),
+            );
+            self.recorder.time(metric::GAP.name, &route, request.relay.longest_gap);
         }
-        if !run.waited.is_zero() {
-            self.recorder.time(metric::WAITED.name, &route, run.waited);
+        if !request.waited.is_zero() {
+            self.recorder.time(metric::WAITED.name, &route, request.waited);
         }
-        if run.sends > 1 {
-            self.recorder.count(metric::SENDS_AGAIN.name, &route, u64::from(run.sends - 1));
+        if request.sends > 1 {
+            self.recorder.count(metric::SENDS_AGAIN.name, &route, u64::from(request.sends - 1));
         }
     }
 
-    fn account(&self, run: &Run<'_>, ended: &Ended) {
-        let total = run.began.elapsed();
+    fn record_outcome(&self, request: &ActiveRequest<'_>, ended: &Ended) {
+        let total = request.began.elapsed();
         let outcome = match ended {
             Ended::Answered { status, .. } if *status < 400 => metric::ANSWERED.name,
             Ended::Answered { .. } => metric::TARGET_ERROR.name,
-            Ended::Refused(reason) | Ended::Cut(reason) => reason.name(),
+            Ended::Refused(reason) | Ended::Aborted(reason) => reason.name(),
         };
-        self.measure(run, outcome, total);
+        self.record_metrics(request, outcome, total);
         let kind = match ended {
             Ended::Answered { status, .. } if *status < 400 => event::FLEET_ANSWERED,
             _ => event::FLEET_FAILED,
         };
         let version = self.state.catalog().map_or(0, |c| c.version);
-        let first = run.relay.first_at.map(|at| at.duration_since(run.began).as_millis());
+        let first = request.relay.first_at.map(|at| at.duration_since(request.began).as_millis());
         let first_ms = first.map_or_else(String::new, |ms| ms.to_string());
-        let model = run.ask.model.as_ref().map_or("", |m| m.as_str());
-        let adapter = run.ask.adapter.as_ref().map_or("", |a| a.as_str());
+        let model = request.params.model.as_ref().map_or("", |m| m.as_str());
+        let adapter = request.params.adapter.as_ref().map_or("", |a| a.as_str());
         kind.emit(&[
-            ("request", &run.ask.id),
-            ("key", &run.key),
-            ("route", &run.route.name),
-            ("team", &run.asker.name()),
+            ("request", &request.params.id),
+            ("key", &request.key),
+            ("route", &request.route.name),
+            ("team", &request.identity.name()),
             ("config", &version),
-            ("service", &run.service),
+            ("service", &request.service),
             ("model", &model),
             ("adapter", &adapter),
             ("outcome", &outcome),
-            ("sends", &run.sends),
-            ("runs", &run.runs),
-            ("waited_ms", &run.waited.as_millis()),
+            ("sends", &request.sends),
+            ("runs", &request.runs),
+            ("waited_ms", &request.waited.as_millis()),
             ("first_ms", &first_ms),
-            ("gap_ms", &run.relay.longest_gap.as_millis()),
-            ("events", &run.relay.events),
+            ("gap_ms", &request.relay.longest_gap.as_millis()),
+            ("events", &request.relay.events),
             ("total_ms", &total.as_millis()),
-            ("trail", &run.trail),
+            ("trail", &request.trail),
         ]);
     }
 }
 
-/// Where a request goes, and whose it is.
+/// Route, service and identity of a request.
 struct Routed {
     route: Arc<Route>,
     service: ServiceName,
-    asker: Asker,
+    identity: Identity,
 }
 
 fn find_route(catalog: &Catalog, host: &str, path: &str) -> Option<Arc<Route>> {
@@ -299,66 +306,68 @@
     catalog.route(name, path).cloned()
 }
 
-/// Writes a whole answer to the caller.
-fn write(run: &Run<'_>, whole: &Whole) -> io::Result<()> {
-    let mut stream = run.caller.stream.try_clone()?;
-    respond::write_whole(&mut stream, whole, run.caller.after)
+/// Writes a full response to the caller.
+fn write_response(request: &ActiveRequest<'_>, response: &Whole) -> io::Result<()> {
+    let mut stream = request.caller.stream.try_clone()?;
+    respond::write_whole(&mut stream, response, request.caller.after)
 }
 
 impl Handler for Server {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
         let began = BootInstant::now();
-        let ask = self.dialect.ask(&req.head);
-        let Routed { route, service, asker } = match self.route(&req.head, &ask, self.state.now()) {
-            Ok(routed) => routed,
-            Err(reason) => {
-                return self.refuse_on_arrival(&req, &ask, reason.into(), stream, after);
-            }
-        };
-        let allowed = ask.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
-        let cost = match self.take_quota(&asker, &ask, allowed) {
+        let params = self.dialect.ask(&req.head);
+        let Routed { route, service, identity } =
+            match self.route(&req.head, &params, self.state.now()) {
+                Ok(routed) => routed,
+                Err(reason) => {
+                    return self.refuse_on_arrival(&req, &params, reason.into(), stream, after);
+                }
+            };
+        let time_limit = params.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+        let cost = match self.take_quota(&identity, &params, time_limit) {
             Ok(cost) => cost,
-            Err(refused) => return self.refuse_on_arrival(&req, &ask, refused, stream, after),
+            Err(refusal) => return self.refuse_on_arrival(&req, &params, refusal, stream, after),
         };
         let caller_stream = stream.try_clone()?;
-        let caller = CallerSide { stream: &caller_stream, http_1_1: req.head.http_1_1, after };
-        let mut run = Run {
+        let caller =
+            CallerConnection { stream: &caller_stream, http_1_1: req.head.http_1_1, after };
+        let mut request = ActiveRequest {
             req: &req,
             key: RequestKey::of(&req),
             is_trial: false,
-            ask,
+            params,
             route,
             service,
-            asker,
+            identity,
             cost,
             caller,
             began,
-            until: began + allowed,
-            is_counted: false,
+            deadline: began + time_limit,
+            is_first_send_counted: false,
             sends: 0,
-            arrivals: 0,
+            transmissions: 0,
             runs: 0,
-            next: None,
-            asking: None,
+            next_target: None,
+            permit_request: None,
             permit: None,
             may_have_run: false,
             tried: Vec::new(),
             relay: EventRelay::default(),
             fallback: None,
             waited: Duration::ZERO,
-            come_back: None,
+            retry_after: None,
             trail: String::new(),
         };
-        let ended = self.serve(&mut run);
-        self.settle(&run);
-        self.account(&run, &ended);
+        let ended = self.serve(&mut request);
+        self.settle_quota(&request);
+        self.record_outcome(&request, &ended);
         match ended {
             Ended::Answered { after, .. } => Ok(after),
             Ended::Refused(reason) => {
-                let come_back = run.come_back.filter(|_| reason.status() == 503);
-                self.refuse(&run.ask.id, reason, come_back, stream, after)
+                let retry_after = request.retry_after.filter(|_| reason.status() == 503);
+                self.refuse(&request.params.id, reason, retry_after, stream, after)
             }
-            Ended::Cut(_) => Ok(After::Close),
+            Ended::Aborted(_) => Ok(After::Close),
         }
     }
 }
--- a/crates/tansyknot-fleet/src/serve/access.rs
+++ b/crates/tansyknot-fleet/src/serve/access.rs
@@ -1,4 +1,5 @@
-//! Who asks, and whether their quota has room: asked before a request waits for anything.
+//! Identification of the team behind a request, and its quota. Both are checked on arrival, before
+//! the request waits for anything else.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +8,7 @@
 
 use super::{
     Server,
-    run::{Reason, Refused, Run},
+    run::{ActiveRequest, Reason, Refusal},
 };
 use crate::{
     access::{self, Claim, Denied, Ruling, team::Team, view::KeyView},
@@ -15,58 +16,59 @@
     outside::{Ask, Sender},
 };
 
-/// Who keeps the accounts is waited for this long at most: a planner that is lost is replaced by then.
-const PATIENCE_MOST: Duration = Duration::from_millis(2300);
-/// The part of a request's time that this may take.
-const PATIENCE_SHARE: f64 = 0.3;
+/// Maximum wait for the planner, which keeps the quota accounts; a lost planner is replaced by
+/// then.
+const MAX_QUOTA_WAIT: Duration = Duration::from_millis(2300);
+/// Maximum share of a request's time limit spent waiting for the quota ruling.
+const MAX_QUOTA_WAIT_SHARE: f64 = 0.3;
 
-/// Whose request it is.
+/// The identity under which a request was sent.
 #[derive(Clone, Debug)]
-pub(super) enum Asker {
-    /// There are no teams.
+pub(super) enum Identity {
+    /// The configuration has no teams.
     Anybody,
-    /// Its route needs no key.
+    /// The route needs no key.
     Public,
-    /// A team.
+    /// The key belongs to this team.
     Team(Arc<Team>),
 }
 
-impl Asker {
-    /// Returns what a target is told.
+impl Identity {
+    /// Returns the sender that the target receives with the request.
     pub(super) fn sender(&self) -> Sender<'_> {
         match self {
-            Asker::Anybody => Sender::Anybody,
-            Asker::Public => Sender::Public,
-            Asker::Team(team) => Sender::Team(&team.name),
+            Identity::Anybody => Sender::Anybody,
+            Identity::Public => Sender::Public,
+            Identity::Team(team) => Sender::Team(&team.name),
         }
     }
 
-    /// Returns the rank of a request on `route`: its team's goes first.
+    /// Returns the priority of a request on `route`; the team's priority overrides the route's.
     pub(super) fn priority(&self, route: &Route) -> u8 {
         match self {
-            Asker::Team(team) => team.priority.unwrap_or(route.priority),
-            Asker::Anybody | Asker::Public => route.priority,
+            Identity::Team(team) => team.priority.unwrap_or(route.priority),
+            Identity::Anybody | Identity::Public => route.priority,
         }
     }
 
-    /// Returns the name that logs use.
+    /// Returns the team's name for logs; empty if there is no team.
     pub(super) fn name(&self) -> &str {
         match self {
-            Asker::Team(team) => team.name.as_str(),
-            Asker::Anybody | Asker::Public => "",
+            Identity::Team(team) => team.name.as_str(),
+            Identity::Anybody | Identity::Public => "",
         }
     }
 }
 
-/// What was taken of a quota for a request.
+/// The units that a request has taken from its team's quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
     units: f64,
-    taken: Time,
+    taken_at: Time,
 }
 
 impl Server {
-    /// Finds out whose request it is that had arrived at `arrived`.
+    /// Identifies the team behind a request that arrived at `arrived`.
     pub(super) fn identify(
         &self,
         head: &Head,
@@ -74,65 +76,64 @@
         catalog: &Catalog,
         view: &KeyView,
         arrived: Time,
-    ) -> Result<Asker, Reason> {
-        let Some(teams) = &catalog.teams else { return Ok(Asker::Anybody) };
+    ) -> Result<Identity, Reason> {
+        let Some(teams) = &catalog.teams else { return Ok(Identity::Anybody) };
         if route.is_public {
-            return Ok(Asker::Public);
+            return Ok(Identity::Public);
         }
         let claim = Claim { key: self.dialect.key(head), arrived, version: catalog.version };
         let team = access::identify(teams, claim, view, &self.state.access.view);
         match team {
-            Ok(team) => Ok(Asker::Team(team)),
-            Err(Denied::UnknownKey) if !self.is_behind(catalog) => Err(Reason::UnknownKey),
+            Ok(team) => Ok(Identity::Team(team)),
+            Err(Denied::UnknownKey) if !self.is_config_outdated(catalog) => Err(Reason::UnknownKey),
             Err(Denied::UnknownKey | Denied::StaleKeys) => Err(Reason::StaleKeys),
         }
     }
 
-    /// Tells whether a newer configuration is known of, which may have the key.
-    fn is_behind(&self, catalog: &Catalog) -> bool {
+    /// Returns whether a newer configuration than `catalog` exists, which may contain the key.
+    fn is_config_outdated(&self, catalog: &Catalog) -> bool {
         self.state.followed().config_version() > catalog.version
     }
 
-    /// Takes what a request costs from its team's quota; `allowed` is how long it may take.
+    /// Takes the cost of a request from its team's quota; `time_limit` is the request's time limit.
     pub(super) fn take_quota(
         &self,
-        asker: &Asker,
-        ask: &Ask,
-        allowed: Duration,
-    ) -> Result<Option<Cost>, Refused> {
-        let Asker::Team(team) = asker else { return Ok(None) };
+        identity: &Identity,
+        params: &Ask,
+        time_limit: Duration,
+    ) -> Result<Option<Cost>, Refusal> {
+        let Identity::Team(team) = identity else { return Ok(None) };
         let Some(quota) = team.quota else { return Ok(None) };
-        let units = quota.cost(ask.tokens);
-        let patience = allowed.mul_f64(PATIENCE_SHARE).min(PATIENCE_MOST);
-        let taken = self.state.now();
-        let ruling = self.quotas.take(&team.name, units, patience);
-        let of = ServiceName::from(team.name.as_str());
+        let units = quota.cost(params.tokens);
+        let max_wait = time_limit.mul_f64(MAX_QUOTA_WAIT_SHARE).min(MAX_QUOTA_WAIT);
+        let taken_at = self.state.now();
+        let ruling = self.quotas.take(&team.name, units, max_wait);
+        let label = ServiceName::from(team.name.as_str());
         match ruling {
             Ruling::Granted => {
-                self.recorder.count(metric::QUOTA_GRANTED.name, &of, 1);
-                Ok(Some(Cost { units, taken }))
+                self.recorder.count(metric::QUOTA_GRANTED.name, &label, 1);
+                Ok(Some(Cost { units, taken_at }))
             }
             Ruling::Over { wait } => {
-                self.recorder.count(metric::QUOTA_OVER.name, &of, 1);
-                Err(Refused { reason: Reason::OverQuota, come_back: Some(wait) })
+                self.recorder.count(metric::QUOTA_OVER.name, &label, 1);
+                Err(Refusal { reason: Reason::OverQuota, retry_after: Some(wait) })
             }
             Ruling::Unknown => {
-                self.recorder.count(metric::QUOTA_UNKNOWN.name, &of, 1);
-                Err(Refused { reason: Reason::QuotaUnknown, come_back: None })
+                self.recorder.count(metric::QUOTA_UNKNOWN.name, &label, 1);
+                Err(Refusal { reason: Reason::QuotaUnknown, retry_after: None })
             }
         }
     }
 
-    /// Gives back what a request cost that no target has run, and puts down what second sends of it
-    /// cost.
-    pub(super) fn settle(&self, run: &Run<'_>) {
-        let (Asker::Team(team), Some(cost)) = (&run.asker, run.cost) else { return };
+    /// Refunds the cost of a request that no target ran, and charges each further run of it.
+    pub(super) fn settle_quota(&self, request: &ActiveRequest<'_>) {
+        let (Identity::Team(team), Some(cost)) = (&request.identity, request.cost) else { return };
         let now = self.state.now();
         let mut pending = self.state.pending();
-        match run.runs {
-            0 => pending.give_back(&team.name, cost.units, cost.taken, now),
+        match request.runs {
+            0 => pending.give_back(&team.name, cost.units, cost.taken_at, now),
             1 => {}
-            more => pending.again(&team.name, cost.units * f64::from(more - 1), now),
+            runs => pending.again(&team.name, cost.units * f64::from(runs - 1), now),
         }
     }
 }
--- a/crates/tansyknot-fleet/src/serve/attempt.rs
+++ b/crates/tansyknot-fleet/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request: the exchange with a target, and what its end says of the target.
+//! One send of a request: the exchange with a target, and what its outcome shows about the target.
 
 use std::time::Duration;
 
@@ -9,231 +9,260 @@
 use tansyknot_http::respond::Whole;
 
 use super::{
-    SENDS_MAX, Server,
+    MAX_SENDS, Server,
     handover::Handover,
-    run::{NotRun, Run, Sent},
-    write,
+    run::{ActiveRequest, NotRun, SendOutcome},
+    write_response,
 };
 use crate::{
-    exchange::{AnswerHead, Exchange, Failure},
+    exchange::{Exchange, Failure, ResponseHead},
     outside::{Forward, Verdict},
-    relay::{self, Patience},
+    relay::{self, ResponseTimeouts},
     target::Target,
 };
 
-/// A repeatable request is sent elsewhere after this many times its objective without an answer.
-const FIRST_PATIENCE: f64 = 2.0;
-/// The least time that a target has for the head of its answer or the first event.
-const PATIENCE_LEAST: Duration = Duration::from_millis(400);
-/// The share of the time left that a first attempt may take if there is another one.
-const FIRST_SHARE: f64 = 0.5;
-/// A stream that can go on elsewhere is cut after this many times its gap objective of silence.
-const GAP_PATIENCE: f64 = 2.5;
-/// The gap objective of a route that names none.
-const DEFAULT_GAP: Duration = Duration::from_secs(1);
+/// A repeatable request is retried elsewhere after this multiple of its objective without a
+/// response.
+const FIRST_TIMEOUT_OBJECTIVES: f64 = 2.0;
+/// Minimum time that a target has for the head of its response or the first event.
+const MIN_FIRST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Share of the remaining time that an attempt may take if another one may follow.
+const ATTEMPT_TIME_SHARE: f64 = 0.5;
+/// A stream that can continue elsewhere is closed after this multiple of its gap objective without
+/// an event.
+const GAP_TIMEOUT_OBJECTIVES: f64 = 2.5;
+/// Gap objective of a route that sets none.
+const DEFAULT_GAP_OBJECTIVE: Duration = Duration::from_secs(1);
 
 impl Server {
-    /// Sends a request to a target and passes its answer on.
-    pub(super) fn send(&self, run: &mut Run<'_>, target: &Target) -> Sent {
-        let request = self.request(run, target);
-        let until = run.give_up_at();
+    /// Sends a request to a target and relays the response.
+    pub(super) fn send(&self, request: &mut ActiveRequest<'_>, target: &Target) -> SendOutcome {
+        let bytes = self.request_bytes(request, target);
+        let deadline = request.give_up_at();
         let began = self.state.now();
-        // Word of it may have come while a target was waited for.
-        let may_send = || !self.is_rejected(run) && self.is_taken(run, target);
-        let caller = Some(run.caller.stream);
-        let opened = Exchange::open(target.address, &request, caller, until, &may_send);
-        let sent = match opened {
+        // A conviction or a signal may have arrived since the target was selected.
+        let may_send = || !self.is_rejected(request) && self.is_send_allowed(request, target);
+        let caller = Some(request.caller.stream);
+        let opened = Exchange::open(target.address, &bytes, caller, deadline, &may_send);
+        let outcome = match opened {
             Ok(exchange) => {
-                run.note(format_args!("{} sent", target.name));
-                run.arrivals += 1;
-                self.answer(run, target, exchange, began)
+                request.note(format_args!("{} sent", target.name));
+                request.transmissions += 1;
+                self.receive_or_hand_over(request, target, exchange, began)
             }
-            Err(Failure::CallerLeft) => Sent::MayHaveRun(Failure::CallerLeft),
-            Err(Failure::NotAllowed) if self.is_rejected(run) => Sent::NotRun(NotRun::Rejected),
-            Err(Failure::NotAllowed) => Sent::NotRun(NotRun::Withheld),
+            Err(Failure::CallerLeft) => SendOutcome::MayHaveRun(Failure::CallerLeft),
+            Err(Failure::NotAllowed) if self.is_rejected(request) => {
+                SendOutcome::NotRun(NotRun::Rejected)
+            }
+            Err(Failure::NotAllowed) => SendOutcome::NotRun(NotRun::Withheld),
             Err(f) if f.nothing_sent() => {
-                run.note(format_args!("{} {f}", target.name));
-                Sent::NotRun(NotRun::Unreachable)
+                request.note(format_args!("{} {f}", target.name));
+                SendOutcome::NotRun(NotRun::Unreachable)
             }
             Err(f) => {
-                run.note(format_args!("{} {f} while it was sent", target.name));
-                run.arrivals += 1;
-                run.runs += 1;
-                Sent::MayHaveRun(f)
+                request.note(format_args!("{} {f} while it was sent", target.name));
+                request.transmissions += 1;
+                request.runs += 1;
+                SendOutcome::MayHaveRun(f)
             }
         };
-        self.learn(run, target, &sent);
-        self.examine(run, target, began, &sent);
-        sent
+        self.update_target_health(request, target, &outcome);
+        self.record_poison_evidence(request, target, began, &outcome);
+        outcome
     }
 
-    /// Takes the answer of a target. Where the request may go elsewhere, a silent target is let
-    /// go as soon as another one has a place.
-    fn answer(
+    /// Receives the response of a target. If the request may be retried elsewhere, an unresponsive
+    /// target is abandoned as soon as another one has a free slot.
+    fn receive_or_hand_over(
         &self,
-        run: &mut Run<'_>,
+        request: &mut ActiveRequest<'_>,
         target: &Target,
         exchange: Exchange<'_>,
         began: Time,
-    ) -> Sent {
-        if !may_go_elsewhere(run) {
-            return self.receive(run, target, exchange, began);
+    ) -> SendOutcome {
+        if !may_retry_elsewhere(request) {
+            return self.receive(request, target, exchange, began);
         }
-        let handover = Handover::new(&self.state, run, target);
-        let sent = self.receive(run, target, exchange.decided_by(&handover), began);
-        run.next = handover.into_next();
-        sent
+        let handover = Handover::new(&self.state, request, target);
+        let outcome = self.receive(request, target, exchange.with_timeout_policy(&handover), began);
+        request.next_target = handover.into_next_target();
+        outcome
     }
 
-    fn request(&self, run: &Run<'_>, target: &Target) -> Vec<u8> {
-        let head = &run.req.head;
-        let to = Forward {
+    fn request_bytes(&self, request: &ActiveRequest<'_>, target: &Target) -> Vec<u8> {
+        let head = &request.req.head;
+        let forward = Forward {
             target: &target.name,
-            left: run.until.duration_since(BootInstant::now()),
-            urgency: run.asker.priority(&run.route).min(9),
-            sender: run.asker.sender(),
-            resume_after: run.relay.last_id.as_deref(),
+            left: request.deadline.duration_since(BootInstant::now()),
+            urgency: request.identity.priority(&request.route).min(9),
+            sender: request.identity.sender(),
+            resume_after: request.relay.last_id.as_deref(),
         };
-        let mut buf = Vec::with_capacity(512 + run.req.body.len());
+        let mut buf = Vec::with_capacity(512 + request.req.body.len());
         buf.extend_from_slice(format!("{} {} HTTP/1.1\r\n", head.method, head.target).as_bytes());
-        for (name, value) in self.dialect.forward(head, &to) {
+        for (name, value) in self.dialect.forward(head, &forward) {
             buf.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
         }
-        if !run.req.body.is_empty() || head.has_body() {
-            buf.extend_from_slice(format!("content-length: {}\r\n", run.req.body.len()).as_bytes());
+        if !request.req.body.is_empty() || head.has_body() {
+            buf.extend_from_slice(
+                format!("content-length: {}\r\n", request.req.body.len()).as_bytes(),
+            );
         }
         buf.extend_from_slice(b"\r\n");
-        buf.extend_from_slice(&run.req.body);
+        buf.extend_from_slice(&request.req.body);
         buf
     }
 
     fn receive(
         &self,
-        run: &mut Run<'_>,
+        request: &mut ActiveRequest<'_>,
         target: &Target,
         mut exchange: Exchange<'_>,
         began: Time,
-    ) -> Sent {
-        let patience = self.patience(run);
+    ) -> SendOutcome {
+        let timeouts = self.timeouts(request);
         let control = exchange.control();
-        control.wait_until(patience.first);
+        control.set_deadline(timeouts.first_by);
         let head = match exchange.head() {
             Ok(head) => head,
             Err(f) => {
-                run.note(format_args!("{} {f}", target.name));
-                run.runs += 1;
-                return Sent::MayHaveRun(f);
+                request.note(format_args!("{} {f}", target.name));
+                request.runs += 1;
+                return SendOutcome::MayHaveRun(f);
             }
         };
-        let verdict = self.dialect.judge(&run.ask.id, &target.name, head.status, &head.headers);
-        self.record_signals(run, target, &head, verdict, began);
+        let verdict =
+            self.dialect.judge(&request.params.id, &target.name, head.status, &head.headers);
+        self.record_signals(request, target, &head, verdict, began);
         match verdict {
             Verdict::Ran => {}
             Verdict::Foreign => {
-                run.note(format_args!("{} foreign answer", target.name));
-                run.runs += 1;
-                return Sent::MayHaveRun(Failure::Foreign);
+                request.note(format_args!("{} foreign answer", target.name));
+                request.runs += 1;
+                return SendOutcome::MayHaveRun(Failure::Foreign);
             }
             Verdict::NotRun => {
-                run.note(format_args!("{} not run, {}", target.name, head.status));
+                request.note(format_args!("{} not run, {}", target.name, head.status));
                 self.state.fleet().full(&target.name, self.state.now());
-                return Sent::NotRun(NotRun::Refused);
+                return SendOutcome::NotRun(NotRun::Refused);
             }
             Verdict::Misdirected { same_target } => {
-                run.note(format_args!("{} misdirected", target.name));
+                request.note(format_args!("{} misdirected", target.name));
                 let now = self.state.now();
                 if same_target {
-                    self.state.fleet().missing(&target.name, &run.want(), now);
+                    self.state.fleet().missing(&target.name, &request.want(), now);
                 } else {
                     self.state.fleet().replaced(&target.name, now);
-                    self.is_succeeded(target);
+                    self.record_replacement(target);
                 }
-                return Sent::NotRun(NotRun::Refused);
+                return SendOutcome::NotRun(NotRun::Refused);
             }
         }
-        run.runs += 1;
-        let passed = if relay::is_stream(&head) && head.status == 200 {
+        request.runs += 1;
+        let result = if relay::is_stream(&head) && head.status == 200 {
             let body = exchange.body(&head);
-            run.relay
-                .pass(&head, body, &control, run.caller, patience)
-                .map(|()| Sent::Passed(head.status))
+            request
+                .relay
+                .forward_events(&head, body, &control, request.caller, timeouts)
+                .map(|()| SendOutcome::Relayed(head.status))
         } else {
-            control.wait_until(patience.first);
-            relay::read_whole(&head, exchange.body(&head), &control)
-                .and_then(|whole| self.pass_whole(run, &head, whole))
+            control.set_deadline(timeouts.first_by);
+            relay::read_response(&head, exchange.body(&head), &control)
+                .and_then(|response| self.relay_response(request, &head, response))
         };
-        match passed {
-            Ok(sent) => {
-                run.note(format_args!("{} {}", target.name, head.status));
-                sent
+        match result {
+            Ok(outcome) => {
+                request.note(format_args!("{} {}", target.name, head.status));
+                outcome
             }
             Err(f) => {
-                let events = run.relay.events;
-                run.note(format_args!("{} {f} after {events} events", target.name));
-                Sent::MayHaveRun(f)
+                let events = request.relay.events;
+                request.note(format_args!("{} {f} after {events} events", target.name));
+                SendOutcome::MayHaveRun(f)
             }
         }
     }
 
-    fn pass_whole(
+    fn relay_response(
         &self,
-        run: &mut Run<'_>,
-        head: &AnswerHead,
-        whole: Whole,
-    ) -> Result<Sent, Failure> {
-        if run.relay.has_begun() {
-            // The rest of a stream can't be continued with this.
+        request: &mut ActiveRequest<'_>,
+        head: &ResponseHead,
+        response: Whole,
+    ) -> Result<SendOutcome, Failure> {
+        if request.relay.has_begun() {
+            // A response that is no stream cannot continue a stream that has begun.
             return Err(Failure::Malformed);
         }
         if head.status >= 500 {
-            return Ok(Sent::Failure(whole));
+            return Ok(SendOutcome::ServerError(response));
         }
         if matches!(head.status, 408 | 421 | 429) {
-            // Only a target that says so has not run the request.
+            // Without an explicit statement that the request was not run, these statuses do not
+            // prove it.
             return Err(Failure::Malformed);
         }
-        write(run, &whole).map_err(|_| Failure::CallerLeft)?;
-        Ok(Sent::Passed(head.status))
+        write_response(request, &response).map_err(|_| Failure::CallerLeft)?;
+        Ok(SendOutcome::Relayed(head.status))
     }
 
-    /// Says how long a target may be silent before the request is sent elsewhere.
-    fn patience(&self, run: &Run<'_>) -> Patience {
+    /// Returns how long a target may take before the request is retried elsewhere.
+    fn timeouts(&self, request: &ActiveRequest<'_>) -> ResponseTimeouts {
         let now = BootInstant::now();
-        let until = run.give_up_at();
-        if !may_go_elsewhere(run) {
-            return Patience { first: until, gap: until.duration_since(now), until };
+        let deadline = request.give_up_at();
+        if !may_retry_elsewhere(request) {
+            return ResponseTimeouts {
+                first_by: deadline,
+                gap: deadline.duration_since(now),
+                deadline,
+            };
+        }
+        let left = deadline.duration_since(now);
+        let first_timeout =
+            request.route.objective.mul_f64(FIRST_TIMEOUT_OBJECTIVES).max(MIN_FIRST_TIMEOUT);
+        let gap = request
+            .route
+            .gap_objective
+            .unwrap_or(DEFAULT_GAP_OBJECTIVE)
+            .mul_f64(GAP_TIMEOUT_OBJECTIVES);
+        ResponseTimeouts {
+            first_by: now + first_timeout.min(left.mul_f64(ATTEMPT_TIME_SHARE)),
+            gap,
+            deadline,
         }
-        let left = until.duration_since(now);
-        let first = run.route.objective.mul_f64(FIRST_PATIENCE).max(PATIENCE_LEAST);
-        let gap = run.route.gap_objective.unwrap_or(DEFAULT_GAP).mul_f64(GAP_PATIENCE);
-        Patience { first: now + first.min(left.mul_f64(FIRST_SHARE)), gap, until }
     }
 
-    /// Takes what a send has shown into the view of the target.
-    fn learn(&self, run: &Run<'_>, target: &Target, sent: &Sent) {
-        if let Sent::MayHaveRun(Failure::CutOff) = sent {
+    /// Updates this daemon's view of the target with the outcome of a send.
+    fn update_target_health(
+        &self,
+        request: &ActiveRequest<'_>,
+        target: &Target,
+        outcome: &SendOutcome,
+    ) {
+        if let SendOutcome::MayHaveRun(Failure::ClosedEarly) = outcome {
             self.recorder.count(metric::CUT_OFF.name, &target.service, 1);
         }
         let now = self.state.now();
         let mut fleet = self.state.fleet();
-        match sent {
-            Sent::Passed(_) => fleet.succeeded(&target.name),
-            Sent::Failure(_) => fleet.failed(&target.name),
-            Sent::MayHaveRun(Failure::CallerLeft) => {}
-            Sent::MayHaveRun(Failure::Silent) => {
+        match outcome {
+            SendOutcome::Relayed(_) => fleet.succeeded(&target.name),
+            SendOutcome::ServerError(_) => fleet.failed(&target.name),
+            SendOutcome::MayHaveRun(Failure::CallerLeft) => {}
+            SendOutcome::MayHaveRun(Failure::TimedOut) => {
                 fleet.failed(&target.name);
-                if run.is_repeatable() {
+                if request.is_repeatable() {
                     fleet.unreachable(&target.name, now);
                 }
             }
-            Sent::MayHaveRun(_) => fleet.failed(&target.name),
-            Sent::NotRun(NotRun::Unreachable) => fleet.unreachable(&target.name, now),
-            Sent::NotRun(NotRun::Refused | NotRun::Rejected | NotRun::Withheld) => {}
+            SendOutcome::MayHaveRun(_) => fleet.failed(&target.name),
+            SendOutcome::NotRun(NotRun::Unreachable) => fleet.unreachable(&target.name, now),
+            SendOutcome::NotRun(NotRun::Refused | NotRun::Rejected | NotRun::Withheld) => {}
         }
     }
 }
 
-/// Tells whether a request that a target has now may still be sent to another one.
-fn may_go_elsewhere(run: &Run<'_>) -> bool {
-    run.is_repeatable() && run.runs + 1 < run.route.attempts_max && run.sends + 1 < SENDS_MAX
+/// Returns whether a request that is at a target may still be retried at another one.
+fn may_retry_elsewhere(request: &ActiveRequest<'_>) -> bool {
+    request.is_repeatable()
+        && request.runs + 1 < request.route.attempts_max
+        && request.sends + 1 < MAX_SENDS
 }
--- a/crates/tansyknot-fleet/src/serve/crash.rs
+++ b/crates/tansyknot-fleet/src/serve/crash.rs
@@ -1,10 +1,10 @@
-//! Finding out whether a target has ended under a request.
+//! Detection of targets that crash while they have a request.
 
 use tansyknot_core::clock::{BootInstant, Time};
 
 use super::{
     Server,
-    run::{Run, Sent},
+    run::{ActiveRequest, SendOutcome},
 };
 use crate::{
     exchange::{self, Failure, LOOK_TIMEOUT},
@@ -13,52 +13,59 @@
 };
 
 impl Server {
-    /// Tells whether a request is not to be sent on.
-    pub(super) fn is_rejected(&self, run: &Run<'_>) -> bool {
-        !run.is_trial && self.state.poison().is_convicted(run.key)
+    /// Returns whether a request must not be sent because it is convicted and this is not its
+    /// trial.
+    pub(super) fn is_rejected(&self, request: &ActiveRequest<'_>) -> bool {
+        !request.is_trial && self.state.poison().is_convicted(request.key)
     }
 
-    /// Takes in what a send over a connection opened at `opened` has shown of the request.
-    pub(super) fn examine(&self, run: &Run<'_>, target: &Target, opened: Time, sent: &Sent) {
-        match sent {
-            Sent::Passed(_) => {
+    /// Records what a send over a connection opened at `opened` has shown about the request.
+    pub(super) fn record_poison_evidence(
+        &self,
+        request: &ActiveRequest<'_>,
+        target: &Target,
+        opened: Time,
+        outcome: &SendOutcome,
+    ) {
+        match outcome {
+            SendOutcome::Relayed(_) => {
                 let now = self.state.now();
-                self.state.poison().answered(run.key, RunKey::of(target), opened, now);
-                self.tell_crashes();
+                self.state.poison().answered(request.key, RunKey::of(target), opened, now);
+                self.wake_crash_publisher();
             }
-            Sent::MayHaveRun(Failure::CutOff) => self.look(run, target, opened),
-            Sent::Failure(_) | Sent::MayHaveRun(_) | Sent::NotRun(_) => {}
+            SendOutcome::MayHaveRun(Failure::ClosedEarly) => self.probe(request, target, opened),
+            SendOutcome::ServerError(_) | SendOutcome::MayHaveRun(_) | SendOutcome::NotRun(_) => {}
         }
     }
 
-    /// Looks whether a target that cut a request off has ended, unless another thread does, and
-    /// waits until it is known.
+    /// Probes whether a target that closed its connection early has ended, and waits for the
+    /// result. If another thread already probes the target, only waits.
     ///
-    /// The end of a target that leaves was announced, and no request is the cause of it.
-    fn look(&self, run: &Run<'_>, target: &Target, opened: Time) {
-        let key = RunKey::of(target);
+    /// A leaving target is not probed: it has announced its end, so no request is the cause.
+    fn probe(&self, request: &ActiveRequest<'_>, target: &Target, opened: Time) {
+        let run_key = RunKey::of(target);
         let now = self.state.now();
         if !self.state.fleet().takes_work(&target.name, now) {
             return;
         }
-        let look = self.state.poison().cut_off(run.key, key, opened, now);
-        match look {
+        let check = self.state.poison().cut_off(request.key, run_key, opened, now);
+        match check {
             Look::Due => {
                 let presence = exchange::look(target.address, LOOK_TIMEOUT);
-                self.take_look(target, key, presence);
+                self.record_crash_check(target, run_key, presence);
             }
-            Look::UnderWay => self.await_look(key),
-            Look::Done => self.tell_crashes(),
+            Look::UnderWay => self.await_crash_check(run_key),
+            Look::Done => self.wake_crash_publisher(),
         }
     }
 
-    fn take_look(&self, target: &Target, key: RunKey, presence: Presence) {
+    fn record_crash_check(&self, target: &Target, run_key: RunKey, presence: Presence) {
         let place = Place::of(target);
         let suspected = {
             let mut poison = self.state.poison();
-            let suspected = poison.looked(key, presence, self.state.now());
+            let suspected = poison.looked(run_key, presence, self.state.now());
             if !presence.is_end() {
-                poison.doubt(key, place.clone());
+                poison.doubt(run_key, place.clone());
             }
             suspected
         };
@@ -66,31 +73,32 @@
         self.state.poison_changed.raise();
     }
 
-    /// Takes in that another run is at a target's address: what it cut off may have been its end.
-    pub(super) fn is_succeeded(&self, target: &Target) {
-        let run = RunKey::of(target);
-        let is_doubted = self.state.poison().is_doubted(run);
-        if is_doubted {
-            self.take_look(target, run, Presence::Gone);
+    /// Records that another run has the address of a target. If the target closed connections early
+    /// before, it counts as ended, and the requests on them may have crashed it.
+    pub(super) fn record_replacement(&self, target: &Target) {
+        let run_key = RunKey::of(target);
+        let is_suspect = self.state.poison().is_doubted(run_key);
+        if is_suspect {
+            self.record_crash_check(target, run_key, Presence::Gone);
         }
     }
 
-    fn await_look(&self, key: RunKey) {
+    fn await_crash_check(&self, run_key: RunKey) {
         let until = BootInstant::now() + LOOK_TIMEOUT;
         loop {
             let seen = self.state.poison_changed.count();
             let left = until.duration_since(BootInstant::now());
-            if left.is_zero() || !self.state.poison().is_looked_at(key) {
+            if left.is_zero() || !self.state.poison().is_looked_at(run_key) {
                 return;
             }
             self.state.poison_changed.wait(seen, left);
         }
     }
 
-    /// Has others be told at once of what has been found, if there is anything.
-    fn tell_crashes(&self) {
-        let has_untold = self.state.poison().has_untold();
-        if has_untold {
+    /// Wakes the thread that publishes crash evidence to other daemons, if there is any to publish.
+    fn wake_crash_publisher(&self) {
+        let has_unpublished = self.state.poison().has_untold();
+        if has_unpublished {
             self.state.poison_changed.raise();
         }
     }
--- a/crates/tansyknot-fleet/src/serve/handover.rs
+++ b/crates/tansyknot-fleet/src/serve/handover.rs
@@ -1,4 +1,4 @@
-//! Finding a place elsewhere for a request before its silent target is let go.
+//! Search for another target before an unresponsive target is abandoned.
 
 use std::{cell::RefCell, sync::Arc, time::Duration};
 
@@ -7,22 +7,22 @@
     name::{AdapterName, ModelName, ServiceName, TargetName},
 };
 
-use super::run::Run;
+use super::run::ActiveRequest;
 use crate::{
-    exchange::Silence,
+    exchange::TimeoutPolicy,
     fleet::{Prefix, Want},
     poison::key::RequestKey,
     state::State,
     target::Target,
 };
 
-/// How often a place elsewhere is looked for while a target stays silent.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval between searches for another target while the current one is unresponsive.
+const TARGET_SEARCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A request whose target is silent, and where it goes on.
+/// A request whose target is unresponsive, and the target found for its retry.
 ///
-/// A slow target may still answer, so it is kept as long as no other one has a free slot or no
-/// retry is left: letting it go would end a request that is being served.
+/// A slow target may still respond, so the connection is kept while no other target has a free slot
+/// or the retry budget is empty: closing it would fail a request that is being served.
 pub(super) struct Handover<'s> {
     state: &'s State,
     key: RequestKey,
@@ -31,33 +31,33 @@
     adapter: Option<AdapterName>,
     prefix: Option<Prefix>,
     tried: Vec<TargetName>,
-    until: BootInstant,
-    next: RefCell<Option<Arc<Target>>>,
+    deadline: BootInstant,
+    next_target: RefCell<Option<Arc<Target>>>,
 }
 
 impl<'s> Handover<'s> {
-    /// Prepares to take a request away from `target`.
-    pub(super) fn new(state: &'s State, run: &Run<'_>, target: &Target) -> Self {
-        let want = run.want();
-        let mut tried = run.tried.clone();
+    /// Prepares the handover of a request that is now at `target`.
+    pub(super) fn new(state: &'s State, request: &ActiveRequest<'_>, target: &Target) -> Self {
+        let want = request.want();
+        let mut tried = request.tried.clone();
         tried.push(target.name.clone());
         Self {
             state,
-            key: run.key,
+            key: request.key,
             service: want.service.clone(),
             model: want.model.cloned(),
             adapter: want.adapter.cloned(),
             prefix: want.prefix,
             tried,
-            until: run.give_up_at(),
-            next: RefCell::default(),
+            deadline: request.give_up_at(),
+            next_target: RefCell::default(),
         }
     }
 
-    /// Returns the target that has been found. The request is counted there, and its retry has
-    /// been taken.
-    pub(super) fn into_next(self) -> Option<Arc<Target>> {
-        self.next.into_inner()
+    /// Returns the target that was found. The request is already counted there, and a retry has
+    /// been taken from the budget.
+    pub(super) fn into_next_target(self) -> Option<Arc<Target>> {
+        self.next_target.into_inner()
     }
 
     fn find(&self) -> Option<Arc<Target>> {
@@ -81,16 +81,16 @@
     }
 }
 
-impl Silence for Handover<'_> {
-    fn wait_on(&self) -> Option<BootInstant> {
+impl TimeoutPolicy for Handover<'_> {
+    fn on_timeout(&self) -> Option<BootInstant> {
         let now = BootInstant::now();
-        if now >= self.until {
+        if now >= self.deadline {
             return None;
         }
         if let Some(target) = self.find() {
-            self.next.replace(Some(target));
+            self.next_target.replace(Some(target));
             return None;
         }
-        Some((now + LOOK).min(self.until))
+        Some((now + TARGET_SEARCH_INTERVAL).min(self.deadline))
     }
 }
--- a/crates/tansyknot-fleet/src/serve/permit.rs
+++ b/crates/tansyknot-fleet/src/serve/permit.rs
@@ -1,68 +1,76 @@
-//! Waiting for the turn of a request at a target that names a limit.
+//! Permits for requests to targets that advertise a limit.
 
 use tansyknot_core::clock::{BootInstant, Time};
 
-use super::{Server, run::Run};
+use super::{Server, run::ActiveRequest};
 use crate::{
     backpressure::{PermitRequest, pending::Progress},
     poison::key::RunKey,
     target::Target,
 };
 
-/// A request that asks whether it may go to a run of a target.
+/// A request's pending request for a permit at a run of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Asking {
+pub(super) struct OpenPermitRequest {
     number: u32,
     run: RunKey,
 }
 
-/// Whether a request may go to a target with a limit.
+/// State of a request's permit at a target with a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
-    /// It may.
-    Now,
-    /// It waits, until this moment if it has been told one.
-    Later(Option<Time>),
+pub(super) enum PermitState {
+    /// The request may be sent.
+    Allowed,
+    /// The permit is pending; it is expected at this time, if an expectation is available.
+    Pending(Option<Time>),
 }
 
 impl Server {
-    /// Asks whether a request may go to a target, if that is due.
-    pub(super) fn ask_for_turn(&self, run: &mut Run<'_>, target: &Target, now: Time) -> Turn {
-        let of = RunKey::of(target);
-        if run.asking.is_some_and(|asking| asking.run != of) {
-            self.end_asking(run);
+    /// Requests a permit for a target if the request for it is due, and returns its state.
+    pub(super) fn request_permit(
+        &self,
+        request: &mut ActiveRequest<'_>,
+        target: &Target,
+        now: Time,
+    ) -> PermitState {
+        let run_key = RunKey::of(target);
+        if request.permit_request.is_some_and(|open| open.run != run_key) {
+            self.cancel_permit_request(request);
         }
-        let begin = || Asking { number: self.state.permits().begin(of), run: of };
-        let Asking { number, .. } = *run.asking.get_or_insert_with(begin);
+        let begin =
+            || OpenPermitRequest { number: self.state.permits().begin(run_key), run: run_key };
+        let OpenPermitRequest { number, .. } = *request.permit_request.get_or_insert_with(begin);
         let progress = self.state.permits().progress(number, now);
         if progress == Progress::AskDue {
-            let left = run.take_by().duration_since(BootInstant::now());
-            let priority = run.asker.priority(&run.route);
-            self.permits.ask(PermitRequest { number, run: of, priority, left });
+            let left = request.target_deadline().duration_since(BootInstant::now());
+            let priority = request.identity.priority(&request.route);
+            self.permits.ask(PermitRequest { number, run: run_key, priority, left });
         }
         let progress = self.state.permits().progress(number, now);
         match progress {
             Progress::Granted(permit) => {
-                run.permit = Some(permit);
-                Turn::Now
+                request.permit = Some(permit);
+                PermitState::Allowed
             }
-            Progress::Waiting { expected } => Turn::Later(expected),
-            Progress::AskDue => Turn::Later(None),
+            Progress::Waiting { expected } => PermitState::Pending(expected),
+            Progress::AskDue => PermitState::Pending(None),
         }
     }
 
-    /// Takes back what a request asks, if it does.
-    pub(super) fn end_asking(&self, run: &mut Run<'_>) {
-        let Some(Asking { number, run: of }) = run.asking.take() else { return };
+    /// Cancels the pending permit request of a request, if there is one.
+    pub(super) fn cancel_permit_request(&self, request: &mut ActiveRequest<'_>) {
+        let Some(OpenPermitRequest { number, run: run_key }) = request.permit_request.take() else {
+            return;
+        };
         let is_unanswered = self.state.permits().end(number);
         if is_unanswered {
-            self.permits.end(number, of);
+            self.permits.end(number, run_key);
         }
     }
 
-    /// Tells whether the signals of a target still allow a request now that the connection stands.
-    pub(super) fn is_taken(&self, run: &Run<'_>, target: &Target) -> bool {
+    /// Returns whether the signals of a target still allow the request once the connection is open.
+    pub(super) fn is_send_allowed(&self, request: &ActiveRequest<'_>, target: &Target) -> bool {
         let now = self.state.now();
-        self.state.fleet().may_send(RunKey::of(target), run.permit, now)
+        self.state.fleet().may_send(RunKey::of(target), request.permit, now)
     }
 }
--- a/crates/tansyknot-fleet/src/serve/run.rs
+++ b/crates/tansyknot-fleet/src/serve/run.rs
@@ -1,4 +1,4 @@
-//! One request on its way, how long it may wait, and how it ends.
+//! State of one request while it is served, its time limits, and its outcomes.
 
 use std::{fmt::Write as _, ops::RangeInclusive, sync::Arc, time::Duration};
 
@@ -13,8 +13,8 @@
 };
 
 use super::{
-    access::{Asker, Cost},
-    permit::Asking,
+    access::{Cost, Identity},
+    permit::OpenPermitRequest,
 };
 use crate::{
     backpressure::pending::Permit,
@@ -23,56 +23,57 @@
     fleet::{Prefix, Want},
     outside::Ask,
     poison::key::RequestKey,
-    relay::{CallerSide, EventRelay},
+    relay::{CallerConnection, EventRelay},
     target::Target,
 };
 
-/// A request is given up this long before its time is over, so that the answer arrives in time.
-const ANSWER_MARGIN: Duration = Duration::from_millis(15);
-/// Callers leave a stream that is silent this long at least.
-const LEAVE_LEAST: Duration = Duration::from_secs(2);
-/// They leave a stream after this many times its objective, if that is longer.
-const LEAVE_OBJECTIVES: u32 = 4;
-/// They leave a stream after this many times its gap objective, if that is longer.
-const LEAVE_GAPS: u32 = 8;
-/// Kept back from the time after which a caller leaves: a first event has to be made.
-const LEAVE_MARGIN: Duration = Duration::from_millis(100);
-/// When to come back if no target was free in time.
-const RETRY_LATER: Duration = Duration::from_millis(500);
-/// When to come back to a daemon that has no configuration yet.
-const RETRY_START: Duration = Duration::from_millis(300);
-/// When to come back while the store is away, in milliseconds: its outages last some seconds, and
-/// those who come back before its return are refused again. They don't come back all at once.
-const RETRY_STORE_MS: RangeInclusive<u64> = 1500..=2500;
+/// A request is given up this long before its deadline, so that the response arrives in time.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+/// Callers close a stream after at least this long without an event.
+const MIN_CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Callers wait this multiple of the route's objective, if that is longer.
+const CALLER_IDLE_OBJECTIVES: u32 = 4;
+/// Callers wait this multiple of the route's gap objective, if that is longer.
+const CALLER_IDLE_GAPS: u32 = 8;
+/// Time reserved before the caller closes the stream, in which the target produces its first event.
+const FIRST_EVENT_MARGIN: Duration = Duration::from_millis(100);
+/// `Retry-After` if no target was available in time.
+const RETRY_AFTER_NO_TARGET: Duration = Duration::from_millis(500);
+/// `Retry-After` if the daemon lacks what it needs to decide: its configuration, current keys or
+/// quota accounts.
+const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(300);
+/// `Retry-After` during a store outage, in milliseconds. Outages last a few seconds, and requests
+/// sent again before the end are refused again; the random delay spreads the retries.
+const RETRY_AFTER_STORE_OUTAGE_MS: RangeInclusive<u64> = 1500..=2500;
 
-/// Why a request ends without a target's answer.
+/// Why a request ends without a full response of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The daemon has no configuration yet.
     NoConfiguration,
-    /// The daemon stops and could not finish it in time.
+    /// The daemon is shutting down and could not finish the request in time.
     Stopping,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// Nobody holds its key, or it has none.
+    /// The key belongs to no team, or the request has none.
     UnknownKey,
-    /// This daemon can't tell whether its key holds.
+    /// This daemon's view of the keys is too old to decide whether the key is valid.
     StaleKeys,
-    /// Its team's quota is used up.
+    /// The team's quota is used up.
     OverQuota,
-    /// Nobody answers who keeps the accounts of quotas.
+    /// The planner, which keeps the quota accounts, does not respond.
     QuotaUnknown,
-    /// Targets have crashed under it.
+    /// The request is convicted: targets have crashed while they had it.
     PoisonRequest,
-    /// Its time passed before a target could take it.
+    /// The time limit passed before a target could accept the request.
     NoTargetInTime,
-    /// Targets refused it and no further send is allowed.
+    /// Targets refused the request and no further send is allowed.
     RefusedByTargets,
-    /// Its time passed while a target had it.
+    /// The time limit passed while a target had the request.
     NoAnswerInTime,
-    /// Targets failed it, or its answer broke off before any of it was passed on.
+    /// Targets failed the request, or the response broke off before any of it was relayed.
     TargetFailed,
-    /// Its stream broke off after a part was passed on.
+    /// The stream broke off after a part of it was relayed.
     StreamBroken,
     /// The caller has left.
     CallerLeft,
@@ -99,8 +100,9 @@
         }
     }
 
-    /// Tells whether callers bring it about as often as they like: with wrong keys, or beyond a quota.
-    pub(super) fn comes_in_floods(self) -> bool {
+    /// Returns whether callers can cause this refusal at any rate: with wrong keys or beyond a
+    /// quota.
+    pub(super) fn may_flood_logs(self) -> bool {
         matches!(self, Reason::UnknownKey | Reason::OverQuota)
     }
 
@@ -113,7 +115,8 @@
             | Reason::Stopping
             | Reason::StaleKeys
             | Reason::QuotaUnknown
-            // It has not run and won't: who is rejected by mistake loses this attempt and no more.
+            // The request has not run and will not: a caller whose request is rejected by mistake
+            // loses only this attempt.
             | Reason::PoisonRequest
             | Reason::NoTargetInTime
             | Reason::RefusedByTargets => 503,
@@ -122,126 +125,133 @@
         }
     }
 
-    /// Returns when to come back, if the request has not run. A poison request is not invited.
-    pub(super) fn retry_after(self, store_is_away: bool) -> Option<Duration> {
+    /// Returns the `Retry-After` of a request that has not run; a poison request gets none.
+    pub(super) fn retry_after(self, is_store_unavailable: bool) -> Option<Duration> {
         match self {
             Reason::NoConfiguration | Reason::NoTargetInTime | Reason::StaleKeys
-                if store_is_away =>
+                if is_store_unavailable =>
             {
-                Some(Duration::from_millis(rand::random_range(RETRY_STORE_MS)))
+                Some(Duration::from_millis(rand::random_range(RETRY_AFTER_STORE_OUTAGE_MS)))
+            }
+            Reason::NoConfiguration | Reason::StaleKeys | Reason::QuotaUnknown => {
+                Some(RETRY_AFTER_NOT_READY)
             }
-            Reason::NoConfiguration | Reason::StaleKeys | Reason::QuotaUnknown => Some(RETRY_START),
             Reason::Stopping => Some(Duration::ZERO),
-            Reason::NoTargetInTime | Reason::RefusedByTargets => Some(RETRY_LATER),
+            Reason::NoTargetInTime | Reason::RefusedByTargets => Some(RETRY_AFTER_NO_TARGET),
             _ => None,
         }
     }
 }
 
-/// Why a request is refused on its arrival.
-pub(super) struct Refused {
+/// A refusal of a request on arrival.
+pub(super) struct Refusal {
     pub(super) reason: Reason,
-    /// When to come back, if that is known better than by the reason.
-    pub(super) come_back: Option<Duration>,
+    /// The `Retry-After`, if it is more precise than the default of the reason.
+    pub(super) retry_after: Option<Duration>,
 }
 
-impl From<Reason> for Refused {
+impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
-        Self { reason, come_back: None }
+        Self { reason, retry_after: None }
     }
 }
 
 /// How a request ended.
 pub(super) enum Ended {
-    /// A target's whole answer was passed on.
+    /// A target's full response was relayed.
     Answered { status: u16, after: After },
-    /// It ends for this reason; nothing has been sent to the caller.
+    /// The request is refused; nothing has been sent to the caller yet.
     Refused(Reason),
-    /// The connection must be closed.
-    Cut(Reason),
+    /// The caller's connection must be closed.
+    Aborted(Reason),
 }
 
-/// What became of one send.
-pub(super) enum Sent {
-    /// The answer has been passed on.
-    Passed(u16),
-    /// The target's own failure, whole; another run may do better.
-    Failure(Whole),
-    /// It was not run.
+/// The outcome of one send.
+pub(super) enum SendOutcome {
+    /// The response was relayed, with this status.
+    Relayed(u16),
+    /// The target responded with an error of its own; another attempt may succeed.
+    ServerError(Whole),
+    /// The target did not run the request.
     NotRun(NotRun),
-    /// It may have run.
+    /// The target may have run the request.
     MayHaveRun(Failure),
 }
 
 /// Why a target did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotRun {
-    /// It could not be reached.
+    /// The target could not be reached.
     Unreachable,
-    /// It refused, and has told so.
+    /// The target responded that it did not run the request.
     Refused,
-    /// This daemon has rejected the request, and nothing was sent.
+    /// This daemon rejected the request as convicted; nothing was sent.
     Rejected,
-    /// By its own word the target takes no request any more as the connection stands; nothing was sent.
+    /// The target's signals no longer allowed a request once the connection was open; nothing was
+    /// sent.
     Withheld,
 }
 
-/// One request on its way.
-pub(super) struct Run<'a> {
+/// A request that is being served.
+pub(super) struct ActiveRequest<'a> {
     pub(super) req: &'a Request,
     pub(super) key: RequestKey,
-    /// Whether it goes to a target once although it is convicted.
+    /// Whether the next send is the one trial of a convicted request.
     pub(super) is_trial: bool,
-    pub(super) ask: Ask,
+    pub(super) params: Ask,
     pub(super) route: Arc<Route>,
     pub(super) service: ServiceName,
-    pub(super) asker: Asker,
-    /// What was taken of its team's quota.
+    pub(super) identity: Identity,
+    /// The units taken from the team's quota.
     pub(super) cost: Option<Cost>,
-    pub(super) caller: CallerSide<'a>,
+    pub(super) caller: CallerConnection<'a>,
     pub(super) began: BootInstant,
-    pub(super) until: BootInstant,
-    /// Whether its first send is counted in the retry budget.
-    pub(super) is_counted: bool,
+    pub(super) deadline: BootInstant,
+    /// Whether the first send is counted in the retry budget.
+    pub(super) is_first_send_counted: bool,
     pub(super) sends: u32,
-    /// Sends of which a target may have seen a byte: these count against the retry budget.
-    pub(super) arrivals: u32,
+    /// Sends of which a target may have received a byte; a send after one of these needs a retry
+    /// from the budget.
+    pub(super) transmissions: u32,
+    /// Sends that a target ran or may have run.
     pub(super) runs: u32,
-    /// Where it goes on after a silent target.
-    pub(super) next: Option<Arc<Target>>,
-    /// What it asks of a target that names a limit while it waits.
-    pub(super) asking: Option<Asking>,
-    /// What allows it to go there.
+    /// The target for the next send, found while the last one was unresponsive.
+    pub(super) next_target: Option<Arc<Target>>,
+    /// The pending permit request at a target with a limit.
+    pub(super) permit_request: Option<OpenPermitRequest>,
+    /// The permit for a target with a limit.
     pub(super) permit: Option<Permit>,
     pub(super) may_have_run: bool,
     pub(super) tried: Vec<TargetName>,
     pub(super) relay: EventRelay,
+    /// The last error response of a target, relayed if no later send succeeds.
     pub(super) fallback: Option<Whole>,
     pub(super) waited: Duration,
-    /// When a load should be done for which the request can't wait.
-    pub(super) come_back: Option<Duration>,
+    /// Expected time until a load or permit that the request cannot wait for, sent as
+    /// `Retry-After`.
+    pub(super) retry_after: Option<Duration>,
     pub(super) trail: String,
 }
 
-impl Run<'_> {
+impl ActiveRequest<'_> {
     pub(super) fn want(&self) -> Want<'_> {
         Want {
             service: &self.service,
-            model: self.ask.model.as_ref(),
-            adapter: self.ask.adapter.as_ref(),
+            model: self.params.model.as_ref(),
+            adapter: self.params.adapter.as_ref(),
             prefix: self.prefix(),
         }
     }
 
     fn prefix(&self) -> Option<Prefix> {
-        let parts = &self.ask.shared_parts;
+        let parts = &self.params.shared_parts;
         let tokens = parts.iter().map(|part| part.tokens).sum();
         parts.last().map(|part| Prefix { id: part.id, tokens })
     }
 
     pub(super) fn note(&mut self, text: std::fmt::Arguments<'_>) {
         let at = self.began.elapsed().as_millis();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(self.trail, "{at}:{text};");
     }
 
@@ -254,24 +264,25 @@
     }
 
     pub(super) fn give_up_at(&self) -> BootInstant {
-        self.until.checked_sub(ANSWER_MARGIN).unwrap_or(self.until)
+        self.deadline.checked_sub(RESPONSE_MARGIN).unwrap_or(self.deadline)
     }
 
-    /// Returns when a target must have taken the request: callers leave a silent stream early.
-    pub(super) fn take_by(&self) -> BootInstant {
+    /// Returns the time by which a target must have accepted the request: callers close an idle
+    /// stream before its deadline.
+    pub(super) fn target_deadline(&self) -> BootInstant {
         if !self.route.repeat.is_stream() {
             return self.give_up_at();
         }
         let gap = self.route.gap_objective.unwrap_or(Duration::ZERO);
-        let patience = LEAVE_LEAST
-            .max(self.route.objective * LEAVE_OBJECTIVES)
-            .max(gap * LEAVE_GAPS)
-            .saturating_sub(LEAVE_MARGIN);
-        self.give_up_at().min(self.last_heard() + patience)
+        let idle_timeout = MIN_CALLER_IDLE_TIMEOUT
+            .max(self.route.objective * CALLER_IDLE_OBJECTIVES)
+            .max(gap * CALLER_IDLE_GAPS)
+            .saturating_sub(FIRST_EVENT_MARGIN);
+        self.give_up_at().min(self.last_activity() + idle_timeout)
     }
 
-    /// Returns when the caller last had a sign of life: its stream's last event, or its request.
-    pub(super) fn last_heard(&self) -> BootInstant {
+    /// Returns the time of the last event sent to the caller, or else the arrival of the request.
+    pub(super) fn last_activity(&self) -> BootInstant {
         self.relay.last_at.unwrap_or(self.began)
     }
 }
--- a/crates/tansyknot-fleet/src/serve/sample.rs
+++ b/crates/tansyknot-fleet/src/serve/sample.rs
@@ -1,4 +1,4 @@
-//! A few of many alike, so that a flood of refusals is seen in the logs and does not fill them.
+//! Rate limit for log lines, so that a flood of refusals shows in the logs without filling them.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -7,22 +7,22 @@
 
 use tansyknot_core::clock::Time;
 
-/// Of a flood, as many are let through in a second.
-const PER_SECOND: u32 = 20;
+/// Maximum log lines of one kind per second.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// How many were let through in this second.
+/// Start of the current second, and the lines counted in it.
 #[derive(Debug, Default)]
-pub(super) struct Sample(Mutex<(Time, u32)>);
+pub(super) struct LogRateLimit(Mutex<(Time, u32)>);
 
-impl Sample {
-    /// Tells whether one more is let through.
+impl LogRateLimit {
+    /// Counts one line and returns whether it may be logged.
     pub(super) fn admits(&self, now: Time) -> bool {
-        // What is counted is whole whoever panicked with it.
+        // The counters are consistent even if a thread panicked while it held the lock.
         let mut counted = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if now.since(counted.0) >= Duration::from_secs(1) {
             *counted = (now, 0);
         }
         counted.1 += 1;
-        counted.1 <= PER_SECOND
+        counted.1 <= MAX_LINES_PER_SECOND
     }
 }
--- a/crates/tansyknot-fleet/src/serve/wait.rs
+++ b/crates/tansyknot-fleet/src/serve/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a target: for a load, a free place or a turn, as long as it is of use.
+//! Waiting for a target: for a model load, a free slot or a permit, as long as it can still help.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,156 +11,165 @@
 
 use super::{
     Server,
-    permit::Turn,
-    run::{Reason, Run},
+    permit::PermitState,
+    run::{ActiveRequest, Reason},
 };
 use crate::{backpressure::Signal, fleet::Pick, target::Target};
 
-/// How often a waiting request looks whether its caller has left.
-const LOOK: Duration = Duration::from_millis(100);
-/// A request waits this long at least for word of a load: a demand and its news are on their way,
-/// and one of them may be lost and repeated on the next beat.
-const WORD_SPAN: Duration = Duration::from_millis(650);
-/// A turn that comes within this span needs no copy elsewhere.
-const TURN_USUAL: Duration = Duration::from_millis(150);
+/// Interval at which a waiting request checks whether its caller has left.
+const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum wait for the announcement of a load. The demand report and the planner's update are in
+/// transit, and a lost one is repeated with the next heartbeat.
+const MIN_ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(650);
+/// A permit that is granted within this time needs no further replica of the model.
+const USUAL_PERMIT_WAIT: Duration = Duration::from_millis(150);
 
 /// What a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wait {
     Load,
-    Place,
-    /// For its turn at a target with a limit, or one that wants rest meanwhile; the first comes at this
-    /// moment if that is known.
-    Turn(Option<Time>),
-    /// For the end of the rest that all targets want.
-    Rest(Time),
+    Slot,
+    /// For a permit at a target with a limit, or for the end of another target's retry delay; the
+    /// earlier of the two is expected at this time, if an expectation is available.
+    Permit(Option<Time>),
+    /// For the end of the first retry delay, as all targets are backing off.
+    RetryDelay(Time),
 }
 
 impl Wait {
-    /// Returns what the planner could mend, for a request that has waited so long.
-    fn lack(self, waited: Duration) -> Option<Lack> {
+    /// Returns the shortage that the planner can relieve, for a request that has waited for
+    /// `waited`.
+    fn shortage(self, waited: Duration) -> Option<Shortage> {
         match self {
-            Wait::Load => Some(Lack::Model),
-            Wait::Turn(_) | Wait::Rest(_) if waited >= TURN_USUAL => Some(Lack::Copy),
-            Wait::Turn(_) | Wait::Rest(_) | Wait::Place => None,
+            Wait::Load => Some(Shortage::Model),
+            Wait::Permit(_) | Wait::RetryDelay(_) if waited >= USUAL_PERMIT_WAIT => {
+                Some(Shortage::Replica)
+            }
+            Wait::Permit(_) | Wait::RetryDelay(_) | Wait::Slot => None,
         }
     }
 
-    /// Returns the signal that holds the request up.
+    /// Returns the signal that delays the request.
     fn signal(self) -> Option<Signal> {
         match self {
-            Wait::Turn(_) => Some(Signal::Limit),
-            Wait::Rest(_) => Some(Signal::Rest),
-            Wait::Load | Wait::Place => None,
+            Wait::Permit(_) => Some(Signal::Limit),
+            Wait::RetryDelay(_) => Some(Signal::Rest),
+            Wait::Load | Wait::Slot => None,
         }
     }
 
-    /// Returns when a rest ends, from now.
+    /// Returns the time from `now` to the end of the retry delay.
     fn ends_in(self, now: Time) -> Option<Duration> {
         match self {
-            Wait::Rest(at) => Some(at.since(now)),
-            Wait::Load | Wait::Place | Wait::Turn(_) => None,
+            Wait::RetryDelay(at) => Some(at.since(now)),
+            Wait::Load | Wait::Slot | Wait::Permit(_) => None,
         }
     }
 }
 
-/// What a request lacks that the planner is told of.
+/// A shortage that is reported to the planner as demand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lack {
-    /// The model is nowhere.
+enum Shortage {
+    /// No target holds the model.
     Model,
-    /// It is only where others go first.
-    Copy,
+    /// Other requests go first at every target that holds the model.
+    Replica,
 }
 
-impl Lack {
+impl Shortage {
     fn name(self) -> &'static str {
         match self {
-            Lack::Model => "a load",
-            Lack::Copy => "a turn",
+            Shortage::Model => "a load",
+            Shortage::Replica => "a turn",
         }
     }
 }
 
 impl Server {
-    /// Finds a target, waiting for a load, a free place or a turn as long as there is time.
-    pub(super) fn find_target(&self, run: &mut Run<'_>) -> Result<Arc<Target>, Reason> {
-        let mut lack = None;
-        let mut held = None;
+    /// Finds a target, and waits for a load, a free slot or a permit as long as time is left.
+    pub(super) fn find_target(
+        &self,
+        request: &mut ActiveRequest<'_>,
+    ) -> Result<Arc<Target>, Reason> {
+        let mut shortage = None;
+        let mut delaying_signal = None;
         let began = BootInstant::now();
-        let found = self.look_for_target(run, &mut lack, &mut held, began);
-        self.end_asking(run);
-        self.count_backpressure(run, &found, held);
+        let found = self.wait_for_target(request, &mut shortage, &mut delaying_signal, began);
+        self.cancel_permit_request(request);
+        self.count_backpressure(request, &found, delaying_signal);
         let waited = began.elapsed();
-        run.waited += waited;
-        if let Some(lack) = lack {
-            self.end_demand(run, lack, waited, found.is_ok());
+        request.waited += waited;
+        if let Some(shortage) = shortage {
+            self.end_demand(request, shortage, waited, found.is_ok());
         }
         found
     }
 
-    fn look_for_target(
+    fn wait_for_target(
         &self,
-        run: &mut Run<'_>,
-        lack: &mut Option<Lack>,
-        held: &mut Option<Signal>,
+        request: &mut ActiveRequest<'_>,
+        shortage: &mut Option<Shortage>,
+        delaying_signal: &mut Option<Signal>,
         began: BootInstant,
     ) -> Result<Arc<Target>, Reason> {
         loop {
             let seen = self.state.targets_changed.count();
             let now = self.state.now();
-            if self.is_rejected(run) {
+            if self.is_rejected(request) {
                 return Err(Reason::PoisonRequest);
             }
-            let pick = self.state.fleet().pick(&run.want(), &run.tried, now, &mut rand::rng());
+            let pick =
+                self.state.fleet().pick(&request.want(), &request.tried, now, &mut rand::rng());
             let wait = match pick {
                 Pick::Target(target) => return Ok(target),
-                Pick::Limited { target, or_at } => match self.ask_for_turn(run, &target, now) {
-                    Turn::Now => {
-                        self.state.fleet().enter(&target.name, run.ask.model.as_ref(), now);
+                Pick::Limited { target, or_at } => match self.request_permit(request, &target, now)
+                {
+                    PermitState::Allowed => {
+                        self.state.fleet().enter(&target.name, request.params.model.as_ref(), now);
                         return Ok(target);
                     }
-                    Turn::Later(at) => {
-                        Wait::Turn(at.map(|at| or_at.map_or(at, |or_at| at.min(or_at))))
+                    PermitState::Pending(at) => {
+                        Wait::Permit(at.map(|at| or_at.map_or(at, |or_at| at.min(or_at))))
                     }
                 },
-                Pick::Resting(at) => Wait::Rest(at),
+                Pick::Resting(at) => Wait::RetryDelay(at),
                 Pick::NotLoaded => Wait::Load,
-                Pick::Full | Pick::NoTarget => Wait::Place,
+                Pick::Full | Pick::NoTarget => Wait::Slot,
             };
-            *held = wait.signal();
-            if lack.is_none() {
-                *lack = wait.lack(began.elapsed());
-                lack.iter().for_each(|_| self.begin_demand(run, now));
+            *delaying_signal = wait.signal();
+            if shortage.is_none() {
+                *shortage = wait.shortage(began.elapsed());
+                shortage.iter().for_each(|_| self.begin_demand(request, now));
             }
             if self.lifecycle.is_ending() {
-                // Nothing was sent, so another daemon can still serve it.
+                // Nothing was sent, so another daemon can still serve the request.
                 return Err(Reason::Stopping);
             }
-            let left = self.wait_left(run, wait, now);
+            let left = self.remaining_wait(request, wait, now);
             if left.is_zero() {
                 return Err(Reason::NoTargetInTime);
             }
-            let pause = wait.ends_in(now).unwrap_or(LOOK);
-            self.state.targets_changed.wait(seen, left.min(LOOK).min(pause));
-            if presence::has_left(run.caller.stream) {
+            let pause = wait.ends_in(now).unwrap_or(CALLER_CHECK_INTERVAL);
+            self.state.targets_changed.wait(seen, left.min(CALLER_CHECK_INTERVAL).min(pause));
+            if presence::has_left(request.caller.stream) {
                 return Err(Reason::CallerLeft);
             }
         }
     }
 
-    /// Counts a request that signals have held up, sent elsewhere or had rejected.
+    /// Counts a request that signals have delayed, diverted to another target or caused to be
+    /// rejected.
     fn count_backpressure(
         &self,
-        run: &Run<'_>,
+        request: &ActiveRequest<'_>,
         found: &Result<Arc<Target>, Reason>,
-        held: Option<Signal>,
+        delaying_signal: Option<Signal>,
     ) {
         let now = self.state.now();
-        let (metric, signal) = match (found, held) {
+        let (metric, signal) = match (found, delaying_signal) {
             (Ok(_), Some(signal)) => (metric::SIGNAL_HELD, Some(signal)),
             (Ok(_), None) => {
-                (metric::SIGNAL_ELSEWHERE, self.state.fleet().set_aside(&run.want(), now))
+                (metric::SIGNAL_ELSEWHERE, self.state.fleet().set_aside(&request.want(), now))
             }
             (Err(_), signal) => (metric::SIGNAL_REJECTED, signal),
         };
@@ -169,68 +178,92 @@
         }
     }
 
-    /// Has the planner know that a request waits for a copy.
-    fn begin_demand(&self, run: &Run<'_>, now: Time) {
-        self.state.fleet().begin_waiting(&run.want(), now);
+    /// Reports to the planner that a request waits for a replica of its model.
+    fn begin_demand(&self, request: &ActiveRequest<'_>, now: Time) {
+        self.state.fleet().begin_waiting(&request.want(), now);
         self.state.demand_changed.raise();
     }
 
-    /// Takes in that a request no longer waits for a copy, and whether it has found one.
-    fn end_demand(&self, run: &mut Run<'_>, lack: Lack, waited: Duration, has_come: bool) {
-        self.state.fleet().end_waiting(&run.want());
-        // The planner frees the target for its next load once it sees the request there.
+    /// Records that a request no longer waits for a replica, and whether it has found a target.
+    fn end_demand(
+        &self,
+        request: &mut ActiveRequest<'_>,
+        shortage: Shortage,
+        waited: Duration,
+        is_found: bool,
+    ) {
+        self.state.fleet().end_waiting(&request.want());
+        // The planner releases the target for its next load once it sees the request there.
         self.state.demand_changed.raise();
-        if has_come && lack == Lack::Model {
-            self.state.load_waits().of(&run.want()).observe(waited);
+        if is_found && shortage == Shortage::Model {
+            self.state.load_waits().of(&request.want()).observe(waited);
         }
-        run.note(format_args!("waited {} ms for {}", waited.as_millis(), lack.name()));
+        request.note(format_args!("waited {} ms for {}", waited.as_millis(), shortage.name()));
     }
 
-    /// Returns how much longer a request may wait for a target; zero if it would be in vain.
-    fn wait_left(&self, run: &mut Run<'_>, wait: Wait, now: Time) -> Duration {
-        let left = run.take_by().duration_since(BootInstant::now());
+    /// Returns how much longer a request may wait for a target; zero if no target can come in time.
+    fn remaining_wait(&self, request: &mut ActiveRequest<'_>, wait: Wait, now: Time) -> Duration {
+        let left = request.target_deadline().duration_since(BootInstant::now());
         match wait {
-            Wait::Place | Wait::Turn(None) => left,
-            Wait::Turn(Some(at)) | Wait::Rest(at) => self.turn_left(run, at.since(now), left, now),
-            Wait::Load => self.load_left(run, left, now),
+            Wait::Slot | Wait::Permit(None) => left,
+            Wait::Permit(Some(at)) | Wait::RetryDelay(at) => {
+                self.remaining_permit_wait(request, at.since(now), left, now)
+            }
+            Wait::Load => self.remaining_load_wait(request, left, now),
         }
     }
 
-    /// Returns how much longer a request may wait for its turn, or the end of a rest, which should come in
-    /// `turn`, or for a copy elsewhere.
-    fn turn_left(&self, run: &mut Run<'_>, turn: Duration, left: Duration, now: Time) -> Duration {
-        let load = self.state.fleet().expected(&run.want(), now).map(|at| at.since(now));
-        let soonest = load.map_or(turn, |load| load.min(turn));
+    /// Returns how much longer a request may wait for a permit or the end of a retry delay, which
+    /// is expected after `expected_in`, or for a load of its model elsewhere.
+    fn remaining_permit_wait(
+        &self,
+        request: &mut ActiveRequest<'_>,
+        expected_in: Duration,
+        left: Duration,
+        now: Time,
+    ) -> Duration {
+        let load = self.state.fleet().expected(&request.want(), now).map(|at| at.since(now));
+        let soonest = load.map_or(expected_in, |load| load.min(expected_in));
         if soonest <= left {
             return left;
         }
-        run.come_back = Some(soonest);
-        run.note(format_args!("turn in {} ms", turn.as_millis()));
+        request.retry_after = Some(soonest);
+        request.note(format_args!("turn in {} ms", expected_in.as_millis()));
         Duration::ZERO
     }
 
-    fn load_left(&self, run: &mut Run<'_>, left: Duration, now: Time) -> Duration {
-        let expected = self.state.fleet().expected(&run.want(), now);
-        if let Some(span) = expected.map(|at| at.since(now)) {
-            if span <= left {
+    fn remaining_load_wait(
+        &self,
+        request: &mut ActiveRequest<'_>,
+        left: Duration,
+        now: Time,
+    ) -> Duration {
+        let expected = self.state.fleet().expected(&request.want(), now);
+        if let Some(load_in) = expected.map(|at| at.since(now)) {
+            if load_in <= left {
                 return left;
             }
-            run.come_back = Some(span);
-            run.note(format_args!("load due in {} ms", span.as_millis()));
+            request.retry_after = Some(load_in);
+            request.note(format_args!("load due in {} ms", load_in.as_millis()));
             return Duration::ZERO;
         }
-        self.unannounced_left(run, left)
+        self.remaining_unannounced_wait(request, left)
     }
 
-    /// Returns how much longer a request may wait for a load that nobody has announced: what loads
-    /// took so far bounds the wait.
-    fn unannounced_left(&self, run: &mut Run<'_>, left: Duration) -> Duration {
-        let waits = *self.state.load_waits().of(&run.want());
-        run.come_back = waits.mean();
-        let most = waits.most().map_or(left, |most| most.max(WORD_SPAN));
-        let left = left.min(most.saturating_sub(run.last_heard().elapsed()));
+    /// Returns how much longer a request may wait for a load that is not announced; the longest
+    /// wait for earlier loads bounds it.
+    fn remaining_unannounced_wait(
+        &self,
+        request: &mut ActiveRequest<'_>,
+        left: Duration,
+    ) -> Duration {
+        let waits = *self.state.load_waits().of(&request.want());
+        request.retry_after = waits.mean();
+        let max_wait = waits.most().map_or(left, |longest| longest.max(MIN_ANNOUNCEMENT_WAIT));
+        let left = left.min(max_wait.saturating_sub(request.last_activity().elapsed()));
         if left.is_zero() {
-            run.note(format_args!("no load due, others took {} ms at most", most.as_millis()));
+            request
+                .note(format_args!("no load due, others took {} ms at most", max_wait.as_millis()));
         }
         left
     }
