--- a/crates/tansyknot-fleet/src/lib.rs
+++ b/crates/tansyknot-fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! Serves requests from targets that hold several models each, ordered by one planner.
+//! Serves requests from targets that hold several models each, under the orders of one planner.
 //!
-//! A request goes through route, pick, exchange and relay. Beside that, a daemon follows the
-//! store, tells the planner what is asked for, and one daemon at a time is the planner.
+//! A request passes through routing, the choice of a target, the exchange with it, and the relay
+//! of its response. Meanwhile each daemon follows the store and reports its demand to the planner;
+//! one daemon at a time is the planner.
 
 pub mod access;
 pub mod backoff;
--- a/crates/tansyknot-fleet/src/outside.rs
+++ b/crates/tansyknot-fleet/src/outside.rs
@@ -1,4 +1,4 @@
-//! What the fleet needs of the outside: the store, the targets' orders, and the wire's dialect.
+//! The interfaces to the platform: its store, orders to targets, and the wire format of requests.
 
 use std::{
     io,
@@ -19,39 +19,39 @@
     target::{Removal, Report, Target},
 };
 
-/// An entry of the list of targets as a change tells it.
+/// A change of an entry in the list of targets.
 #[derive(Clone, Debug)]
 pub enum TargetChange {
     /// The entry is new or has changed.
     Put(Box<Target>),
-    /// The entry is gone.
+    /// The entry was removed.
     Removed(Removal),
 }
 
-/// What came of following the list of targets.
+/// The result of following the list of targets.
 #[derive(Clone, Debug)]
 pub enum TargetNews {
-    /// Changes since the version that was asked for.
+    /// Changes since the requested version.
     Changes {
         /// The changes in order.
         changes: Vec<TargetChange>,
-        /// The version to go on from.
+        /// The version from which to continue.
         version: u64,
     },
-    /// The store does not remember that far back: the list must be read anew.
+    /// The store's history does not reach back that far: the list must be read in full.
     HistoryLost,
 }
 
-/// Which of this project's own rows.
+/// The names of the daemons' own rows in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowName {
-    /// Who the planner is, and what it may order.
+    /// The planner's lease, and the targets that it may order.
     Planner,
     /// Requests under which targets have crashed.
     Poison,
 }
 
-/// A row of this project's own.
+/// A row of the daemons' own in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnRow {
     /// Its value.
@@ -60,79 +60,84 @@
     pub version: u64,
 }
 
-/// What became of a conditional write.
+/// The result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Written {
-    /// It took effect; the row has this version.
+    /// The write took effect; the row has this version.
     Done(u64),
-    /// The row had another version; this is the row, if there is one.
+    /// The row had another version; this is the current row, if there is one.
     Conflict(Option<OwnRow>),
 }
 
 /// A client of the platform's store.
 pub trait Store: Send + Sync {
-    /// Reads the whole list of targets, and the version to follow it from, `within` a span.
+    /// Reads the full list of targets and the version from which to follow it, `within` a time
+    /// limit.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not answer or answers nonsense.
+    /// Returns an error if the store does not respond or its response is malformed.
     fn targets(&self, within: Duration) -> Result<(Vec<Target>, u64)>;
 
     /// Returns what changed in the list of targets after `version`, without waiting.
     ///
     /// # Errors
     ///
-    /// Fails as [`Store::targets`] does.
+    /// Returns an error in the same cases as [`Store::targets`].
     fn target_changes(&self, version: u64) -> Result<TargetNews>;
 
-    /// Reads the operators' configuration `within` a span; `None` if there is none yet.
+    /// Reads the operators' configuration and its version, `within` a time limit. The configuration
+    /// is `None` if there is none yet.
     ///
     /// # Errors
     ///
-    /// Fails as [`Store::targets`] does.
+    /// Returns an error in the same cases as [`Store::targets`].
     fn catalog(&self, within: Duration) -> Result<(Option<Catalog>, u64)>;
 
-    /// Waits up to `wait` for a change after `version`; `None` if the history is lost.
+    /// Waits up to `wait` for a change of the configuration after `version`; `None` if the store's
+    /// history is lost.
     ///
     /// # Errors
     ///
-    /// Fails as [`Store::targets`] does.
+    /// Returns an error in the same cases as [`Store::targets`].
     fn catalog_changes(
         &self,
         version: u64,
         wait: Duration,
     ) -> Result<Option<(Option<Catalog>, u64)>>;
 
-    /// Reads a row of this project's own; `None` if there is none yet.
+    /// Reads one of the daemons' own rows; `None` if it does not exist yet.
     ///
     /// # Errors
     ///
-    /// Fails as [`Store::targets`] does.
+    /// Returns an error in the same cases as [`Store::targets`].
     fn row(&self, name: RowName) -> Result<Option<OwnRow>>;
 
-    /// Writes a row of this project's own if it has version `expected`; 0 means that there is none.
+    /// Writes one of the daemons' own rows if it has version `expected`; 0 means that it does not
+    /// exist.
     ///
     /// # Errors
     ///
-    /// Fails as [`Store::targets`] does; the write may then have taken effect.
+    /// Returns an error in the same cases as [`Store::targets`]; the write may still have taken
+    /// effect.
     fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<Written>;
 }
 
-/// What a target is told to do.
+/// The action that an order demands of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Load a model, or an adapter of a model that it holds.
+    /// Load a model, or an adapter of a loaded model.
     Load {
         /// The model.
         model: ModelName,
-        /// The adapter.
+        /// The adapter, if the order is for one.
         adapter: Option<AdapterName>,
     },
-    /// Remove a model, or one adapter.
+    /// Remove a model, or one of its adapters.
     Remove {
         /// The model.
         model: ModelName,
-        /// The adapter.
+        /// The adapter, if the order is for one.
         adapter: Option<AdapterName>,
     },
 }
@@ -140,37 +145,37 @@
 /// An order to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// What to do.
+    /// The action.
     pub action: Action,
-    /// The target carries it out only if it has accepted this many orders.
+    /// The number of orders that the target must have accepted so far for it to accept this one.
     pub expected: u64,
-    /// The daemon that orders.
+    /// The name of the daemon that sends the order.
     pub holder: Arc<str>,
-    /// The fencing token.
+    /// The fencing token of the daemon's lease.
     pub fence: u64,
 }
 
-/// How a target answered an order.
+/// A target's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ordered {
-    /// It is being carried out.
+    /// The target executes the order.
     Accepted,
-    /// It already holds, or was carried out at once.
+    /// The order's result already holds, or was reached at once.
     Done,
-    /// Another order is under way, or the count of orders differs.
+    /// Another order is being executed, or the number of accepted orders differs.
     Conflict,
-    /// It can't be carried out, or the address belongs to another target.
+    /// The order cannot be executed, or the address belongs to another target.
     Refused,
 }
 
-/// Sends orders to targets and asks them for reports.
+/// A client that sends orders to targets and queries their reports.
 pub trait Targets: Send + Sync {
-    /// Sends an order. `still_allowed` is asked after the connection stands, immediately before
-    /// the first byte is sent.
+    /// Sends an order. `still_allowed` is called once the connection is established, immediately
+    /// before the first byte is sent.
     ///
     /// # Errors
     ///
-    /// Fails if no answer came; the order may then be carried out later.
+    /// Returns an error if no response arrived; the order may still be executed later.
     fn order(
         &self,
         target: &Target,
@@ -178,15 +183,15 @@
         still_allowed: &dyn Fn() -> bool,
     ) -> Result<Ordered>;
 
-    /// Asks a target what it holds and does.
+    /// Queries a target's report of its models and its work.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer or answers nonsense.
+    /// Returns an error if the target does not respond or its response is malformed.
     fn report(&self, target: &Target) -> Result<Report>;
 }
 
-/// What a request asks for, as its head says.
+/// The properties of a request as read from its head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ask {
     /// The caller's identifier of this request.
@@ -199,73 +204,73 @@
     pub adapter: Option<AdapterName>,
     /// The parts of the prompt that other requests share, in order.
     pub shared_parts: Vec<PromptPart>,
-    /// The tokens that it says it takes, those of its answer included.
+    /// The number of tokens that the request declares, including those of its response.
     pub tokens: Option<u64>,
 }
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// A hash of what it says.
+    /// A hash of its content.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// Whose request a target is told that it gets.
+/// The sender of a request as a target is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender<'a> {
-    /// There are no teams, and header lines of callers mean nothing here.
+    /// Teams are not configured, and the caller's own header lines have no meaning here.
     Anybody,
-    /// A request that needs no key.
+    /// The request needs no key.
     Public,
-    /// A team's.
+    /// The request of a team.
     Team(&'a TeamName),
 }
 
-/// What the daemon sets on a request that it passes on.
+/// The properties that the daemon sets on a request that it forwards.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
     /// The only target that may run it.
     pub target: &'a TargetName,
-    /// Time left for it.
+    /// The time left until the request's deadline.
     pub left: Duration,
-    /// Its rank at the engine; 0 goes first.
+    /// The request's rank at the engine; 0 is served first.
     pub urgency: u8,
-    /// Whose request it is.
+    /// The request's sender.
     pub sender: Sender<'a>,
-    /// The number of the last event that the caller has, if a stream goes on.
+    /// The number of the last event that the caller has received, if a stream is resumed.
     pub resume_after: Option<&'a str>,
 }
 
-/// What a target's answer says beside status and body.
+/// What a target's response implies beside its status and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is an answer of a run.
+    /// The target ran the request.
     Ran,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     NotRun,
-    /// Another target has the address, or the model is not there; nothing was run.
+    /// Another target has the address, or the model is not loaded; the request did not run.
     Misdirected {
-        /// Whether the named target itself answered: it does not hold the model.
+        /// Whether the named target itself responded, because the model is not loaded there.
         same_target: bool,
     },
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Foreign,
 }
 
-/// Reads and writes the heads of requests and answers.
+/// Reads and writes the heads of requests and responses.
 pub trait Dialect: Send + Sync {
-    /// Reads what a request asks for.
+    /// Reads the properties of a request.
     fn ask(&self, head: &Head) -> Ask;
 
-    /// Reads the key that a request came with.
+    /// Reads the key of a request.
     fn key<'a>(&self, head: &'a Head) -> Option<&'a str>;
 
-    /// Returns the header lines of the request that a target gets.
+    /// Returns the header lines of a request that is forwarded to a target.
     fn forward(&self, head: &Head, to: &Forward<'_>) -> Vec<(String, String)>;
 
-    /// Judges an answer to the request `id` that was sent to `target`.
+    /// Classifies a response to the request `id` that was sent to `target`.
     fn judge(
         &self,
         id: &str,
@@ -274,8 +279,8 @@
         headers: &[(String, String)],
     ) -> Verdict;
 
-    /// Reads the backpressure signals in an answer to the request `id`; `None` if it need not be an
-    /// answer of `target` to that request.
+    /// Reads the backpressure signals in a response to the request `id`; `None` if the response may
+    /// not be one of `target` to that request.
     fn signals(
         &self,
         id: &str,
@@ -284,20 +289,20 @@
         headers: &[(String, String)],
     ) -> Option<Signals>;
 
-    /// Returns the header lines of a refusal.
+    /// Returns the header lines of a refusal of the request `id`.
     fn refusal(&self, id: &str, retry_after: Option<Duration>) -> Vec<(String, String)>;
 }
 
-/// Where a daemon's peer listens.
+/// The address at which a peer of a daemon receives messages.
 pub type PeerAddress = SocketAddr;
 
-/// The way to other daemons.
+/// A sender of datagrams to other daemons.
 pub trait Datagrams: Send + Sync {
-    /// Sends a datagram; it may be lost all the same.
+    /// Sends a datagram, which may be lost even if this succeeds.
     ///
     /// # Errors
     ///
-    /// Fails if it was not sent.
+    /// Returns an error if the datagram was not sent.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 }
 
--- a/crates/tansyknot-fleet/src/spans.rs
+++ b/crates/tansyknot-fleet/src/spans.rs
@@ -1,22 +1,21 @@
-//! How old a daemon's views may become, worked out from the platform's bounds.
+//! Maximum ages of a daemon's views, derived from the platform's bounds.
 
 use std::time::Duration;
 
-/// What the platform promises and asks for.
+/// The platform's guarantees and requirements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// A target that leaves must get nothing new this long after its entry says so.
+    /// The time after which a leaving target must get no new requests, from when its entry says so.
     pub leave_within: Duration,
-    /// A configuration must be in force this long after it was accepted.
+    /// The time within which an accepted configuration must be in force.
     pub config_within: Duration,
-    /// How often a target renews its entry.
+    /// The interval at which a target renews its entry.
     pub heartbeat: Duration,
-    /// A host that was disturbed keeps the bounds again this long after that.
+    /// The time after a disturbance within which a host must meet the bounds again.
     pub recover_within: Duration,
 }
 
 impl Default for Bounds {
-    /// Returns the bounds of the users' two sites.
     fn default() -> Self {
         Self {
             leave_within: Duration::from_secs(2),
@@ -27,57 +26,58 @@
     }
 }
 
-/// The share of the time to a target's leaving for which a view of the list is fresh; the rest is
-/// for a call, and for requests that are on their way.
-const LIST_SHARE: f64 = 0.65;
-/// The share of it after which a planner, or a daemon without news, asks for the list again.
-const LIST_PACE_SHARE: f64 = 0.3;
-/// The longest pause between two such calls: targets that come and go are learnt of by them.
-const LIST_PACE_MOST: Duration = Duration::from_millis(600);
-/// The share of the time to a configuration's being in force for which a view of it is fresh.
-const CONFIG_SHARE: f64 = 0.8;
-/// The share of it for which a call that follows the configuration waits for a change.
+/// The share of `leave_within` for which a view of the list is fresh. The rest is for a call to the
+/// store, and for requests that are being sent.
+const LIST_FRESH_SHARE: f64 = 0.65;
+/// The share of `leave_within` after which a planner, or a daemon without updates, polls the list.
+const LIST_POLL_SHARE: f64 = 0.3;
+/// Maximum interval between two such polls, by which new and removed targets are found.
+const MAX_LIST_POLL_INTERVAL: Duration = Duration::from_millis(600);
+/// The share of `config_within` for which a view of the configuration is fresh.
+const CONFIG_FRESH_SHARE: f64 = 0.8;
+/// The share of `config_within` for which a call that follows the configuration may wait.
 const CONFIG_WAIT_SHARE: f64 = 0.5;
-/// Entries are up to this many heartbeats old.
-const ENTRY_HEARTBEATS: u32 = 2;
-/// An entry lapses three heartbeats after its last one, which is up to one before an outage.
-const LAPSE_HEARTBEATS: u32 = 2;
-/// What the store and the way take beside that.
-const ENTRY_MARGIN: Duration = Duration::from_millis(100);
+/// Maximum age of an entry in heartbeats, during which an override precedes the list.
+const OVERRIDE_HEARTBEATS: u32 = 2;
+/// An entry expires three heartbeats after its last renewal, which may be up to one heartbeat
+/// before an outage.
+const EXPIRY_HEARTBEATS: u32 = 2;
+/// The time that the store and the network take in addition.
+const OVERRIDE_MARGIN: Duration = Duration::from_millis(100);
 
-/// What a removal that was kept back takes to be told and picked up by requests.
+/// The time that a deferred removal takes to be published and to reach requests.
 const RECOVER_MARGIN: Duration = Duration::from_millis(100);
 
-/// How old views may become.
+/// Maximum ages of views, and intervals of calls to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spans {
-    /// A daemon whose view of the list is older asks the store itself.
+    /// Maximum age of the view of the list, beyond which a daemon queries the store.
     pub list: Duration,
-    /// How often the list is asked for without news of it.
+    /// The interval at which the list is polled if no updates of it arrive.
     pub list_pace: Duration,
-    /// A daemon whose view of the configuration is older asks the store itself.
+    /// Maximum age of the view of the configuration, beyond which a daemon queries the store.
     pub config: Duration,
     /// How long a call that follows the configuration waits for a change.
     pub config_wait: Duration,
-    /// A note of the planner goes before the list this long.
+    /// How long an override of the planner precedes the list.
     pub note: Duration,
-    /// Entries may have lapsed if the store was away for longer.
+    /// The length of an outage of the store beyond which entries may have expired.
     pub lapse: Duration,
-    /// A daemon that has lost the store is held to the bounds again this long after.
+    /// The time after an outage of the store at which a daemon must meet the bounds again.
     pub recover: Duration,
 }
 
 impl Spans {
-    /// Works the spans out from the platform's bounds.
+    /// Derives the spans from the platform's bounds.
     pub fn of(bounds: &Bounds) -> Self {
         Self {
-            list: bounds.leave_within.mul_f64(LIST_SHARE),
-            list_pace: bounds.leave_within.mul_f64(LIST_PACE_SHARE).min(LIST_PACE_MOST),
-            config: bounds.config_within.mul_f64(CONFIG_SHARE),
+            list: bounds.leave_within.mul_f64(LIST_FRESH_SHARE),
+            list_pace: bounds.leave_within.mul_f64(LIST_POLL_SHARE).min(MAX_LIST_POLL_INTERVAL),
+            config: bounds.config_within.mul_f64(CONFIG_FRESH_SHARE),
             config_wait: bounds.config_within.mul_f64(CONFIG_WAIT_SHARE),
-            lapse: bounds.heartbeat * LAPSE_HEARTBEATS,
+            lapse: bounds.heartbeat * EXPIRY_HEARTBEATS,
             recover: bounds.recover_within.saturating_sub(RECOVER_MARGIN),
-            note: bounds.heartbeat * ENTRY_HEARTBEATS + ENTRY_MARGIN,
+            note: bounds.heartbeat * OVERRIDE_HEARTBEATS + OVERRIDE_MARGIN,
         }
     }
 }
