--- a/crates/tansyknot-fleet/src/dissemination.rs
+++ b/crates/tansyknot-fleet/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! How daemons know: demand goes up to the planner, and its news go down to all, by relays where
-//! they are many.
+//! Dissemination of state between daemons: each daemon sends its demand to the planner, whose
+//! updates reach all daemons, through relays in large fleets.
 
 pub mod audience;
 pub mod changes;
--- a/crates/tansyknot-fleet/src/dissemination/audience.rs
+++ b/crates/tansyknot-fleet/src/dissemination/audience.rs
@@ -1,5 +1,5 @@
-//! Whom the planner tells: the daemons, in groups with a relay each, and those that the groups do
-//! not reach.
+//! The recipients of the planner's updates: all daemons, in groups with one relay each, and the
+//! daemons that need a repair because updates do not reach them.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -12,60 +12,61 @@
     relays::{self, FOLLOWERS_MOST, Group, Seat},
 };
 
-/// A daemon that has been silent this long is not told any more.
-const SPAN: Duration = Duration::from_secs(2);
-/// A daemon that has been silent for more than two beats is no relay.
-const SOUND_SPAN: Duration = Duration::from_millis(700);
-/// A beat has reached everyone this long after it was told: two hops of some ms each, and relays
-/// that share their processor with requests.
-const ON_THE_WAY: Duration = Duration::from_millis(200);
-/// A daemon that lacks as many beats in a row is told directly. One is lost now and then.
-const BEATS_LACKED: usize = 2;
-/// Daemons that are told something of their own at once. The others wait for the next step: if many
-/// lack something, a planner that told all of them at once would not speak to anyone else
-/// meanwhile, and more would lack something then.
-const REPAIRS_AT_ONCE: usize = FOLLOWERS_MOST;
-/// A daemon whose followers were not reached is no relay for this long; it may be cut off from them
-/// and not from the planner.
-const DISTRUST_SPAN: Duration = Duration::from_secs(4);
-/// What is missing at a daemon is sent to it again no sooner than this: the way there and back,
-/// and what the daemon's own pace adds.
-const REPAIR_PAUSE: Duration = Duration::from_millis(100);
-
-/// A daemon that is told.
+/// A daemon that has sent no demand for this long gets no more updates.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// A daemon that has sent no demand for more than two heartbeats is not used as a relay.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(700);
+/// The time after which a heartbeat has reached every daemon: two hops of some milliseconds each,
+/// through relays that share their processor with requests.
+const DELIVERY_TIME: Duration = Duration::from_millis(200);
+/// A daemon that misses this many heartbeats in a row gets a repair. Single heartbeats get lost now
+/// and then.
+const MISSED_HEARTBEAT_LIMIT: usize = 2;
+/// Maximum number of daemons that get a repair in one step; others wait for the next step. Sending
+/// many repairs at once would delay the updates to all other daemons, which would then need repairs
+/// as well.
+const MAX_REPAIRS_PER_STEP: usize = FOLLOWERS_MOST;
+/// How long a daemon that did not reach its followers is not used as a relay. It may have lost the
+/// connection to them and still reach the planner.
+const RELAY_EXCLUSION: Duration = Duration::from_secs(4);
+/// Minimum time between two repairs of one daemon: the round trip, and the time until the daemon's
+/// next step.
+const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A daemon that gets the planner's updates.
 #[derive(Clone, Debug)]
 struct Peer {
     entry: PeerEntry,
-    heard: Time,
+    last_seen: Time,
     known: Known,
-    /// Whether it has spoken to this planner.
-    has_spoken: bool,
-    /// Whether it lacked beats that it should have heard when it spoke last.
-    is_unreached: bool,
-    repaired: Option<Time>,
-    distrusted_until: Time,
+    /// Whether it has sent demand to this planner.
+    has_reported: bool,
+    /// Whether its last demand showed that it has missed heartbeats.
+    misses_heartbeats: bool,
+    repaired_at: Option<Time>,
+    excluded_until: Time,
 }
 
-/// What a daemon lacks, from where it is to be told.
+/// A daemon that lacks changes, and the state from which it needs them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repair {
     /// The daemon.
     pub to: SocketAddr,
-    /// What it has.
+    /// The updates that it has received.
     pub known: Known,
 }
 
-/// The daemons that the planner tells.
+/// The daemons that get the planner's updates.
 #[derive(Clone, Debug, Default)]
 pub struct Audience {
     peers: BTreeMap<SocketAddr, Peer>,
     groups: Vec<Group>,
-    /// When the last beats were told, the newest first.
-    beats: Vec<Time>,
+    /// When the last heartbeats were sent, the newest first.
+    heartbeats: Vec<Time>,
 }
 
 impl Audience {
-    /// Begins with the daemons that an earlier planner has told of.
+    /// Starts over with the daemons that an earlier planner has announced.
     pub fn begin(&mut self, entries: Vec<PeerEntry>, now: Time) {
         *self = Self::default();
         for entry in entries {
@@ -74,45 +75,55 @@
         self.regroup(now);
     }
 
-    /// Takes in that a daemon has spoken; tells whether it needs an answer of its own.
+    /// Records demand of a daemon; returns whether the daemon needs a repair.
     pub fn hear(&mut self, entry: PeerEntry, known: Known, fence: u64, now: Time) -> bool {
         let address = entry.address;
-        let is_unreached = self.lacks_beats(&known, fence, now);
+        let misses_heartbeats = self.has_missed_heartbeats(&known, fence, now);
         let peer = self.peers.entry(address).or_insert_with(|| Peer::new(entry.clone(), now));
-        let repaired = peer.repaired;
-        let distrusted_until = peer.distrusted_until;
-        let has_spoken = true;
-        *peer =
-            Peer { entry, heard: now, known, has_spoken, is_unreached, repaired, distrusted_until };
-        peer.lacks(fence, now)
+        let repaired_at = peer.repaired_at;
+        let excluded_until = peer.excluded_until;
+        let has_reported = true;
+        *peer = Peer {
+            entry,
+            last_seen: now,
+            known,
+            has_reported,
+            misses_heartbeats,
+            repaired_at,
+            excluded_until,
+        };
+        peer.needs_repair(fence, now)
     }
 
-    /// Tells whether a daemon that knows this now has not heard the last beats on their way.
-    fn lacks_beats(&self, known: &Known, fence: u64, now: Time) -> bool {
-        let last = now.before(Duration::from_millis(known.silent_ms.into()));
-        let due = self.beats.iter().filter(|beat| now.since(**beat) >= ON_THE_WAY);
-        let lacked = due.filter(|beat| **beat > last).count();
-        known.fence == fence && lacked >= BEATS_LACKED
+    /// Returns whether a daemon with the state `known` has missed the last heartbeats that should
+    /// have reached it.
+    fn has_missed_heartbeats(&self, known: &Known, fence: u64, now: Time) -> bool {
+        let last_update = now.before(Duration::from_millis(known.silent_ms.into()));
+        let due =
+            self.heartbeats.iter().filter(|heartbeat| now.since(**heartbeat) >= DELIVERY_TIME);
+        let missed = due.filter(|heartbeat| **heartbeat > last_update).count();
+        known.fence == fence && missed >= MISSED_HEARTBEAT_LIMIT
     }
 
-    /// Begins a beat: forgets silent daemons and divides the others into groups, without relays
-    /// that do not reach theirs.
+    /// Begins a heartbeat: removes daemons that have timed out and divides the others into groups,
+    /// without relays that do not reach their followers.
     pub fn regroup(&mut self, now: Time) {
-        self.beats.insert(0, now);
-        self.beats.truncate(2 * BEATS_LACKED);
-        self.peers.retain(|_, p| now.since(p.heard) < SPAN);
-        self.distrust(now);
-        let seats: Vec<Seat> = self.peers.values().map(|p| p.seat(now)).collect();
-        self.groups = relays::groups(&seats);
+        self.heartbeats.insert(0, now);
+        self.heartbeats.truncate(2 * MISSED_HEARTBEAT_LIMIT);
+        self.peers.retain(|_, p| now.since(p.last_seen) < PEER_TIMEOUT);
+        self.exclude_failing_relays(now);
+        let candidates: Vec<Seat> = self.peers.values().map(|p| p.relay_candidate(now)).collect();
+        self.groups = relays::groups(&candidates);
     }
 
-    /// Passes relays over that do not reach theirs. If that seems so of most, it is the planner
-    /// that is not heard, and other relays would not help.
-    fn distrust(&mut self, now: Time) {
-        let is_unreached = |a: &&SocketAddr| self.peers.get(a).is_some_and(|p| p.is_unreached);
+    /// Excludes relays that do not reach their followers. If most relays seem to fail, the
+    /// planner's own updates are lost, and other relays would not help.
+    fn exclude_failing_relays(&mut self, now: Time) {
+        let misses_heartbeats =
+            |a: &&SocketAddr| self.peers.get(a).is_some_and(|p| p.misses_heartbeats);
         let fails = |group: &&Group| {
-            let unreached = group.followers.iter().filter(is_unreached).count();
-            unreached * 2 > group.followers.len()
+            let missing = group.followers.iter().filter(misses_heartbeats).count();
+            missing * 2 > group.followers.len()
         };
         let failing: Vec<SocketAddr> = self.groups.iter().filter(fails).map(|g| g.relay).collect();
         if failing.len() * 2 > self.groups.len() {
@@ -120,38 +131,38 @@
         }
         for relay in failing {
             if let Some(relay) = self.peers.get_mut(&relay) {
-                relay.distrusted_until = now + DISTRUST_SPAN;
+                relay.excluded_until = now + RELAY_EXCLUSION;
             }
         }
     }
 
-    /// Returns whom to tell what is new.
+    /// Returns the groups to which updates are sent.
     pub fn groups(&self) -> &[Group] {
         &self.groups
     }
 
-    /// Returns some of the daemons that lack what others have been told, those first that have
-    /// waited longest, and takes them for told again.
+    /// Returns daemons that need a repair now, those first that have waited longest, and records
+    /// the repairs as sent.
     pub fn repairs(&mut self, fence: u64, now: Time) -> Vec<Repair> {
-        let mut lacking: Vec<(&SocketAddr, &mut Peer)> =
-            self.peers.iter_mut().filter(|(_, p)| p.lacks(fence, now)).collect();
-        lacking.sort_by_key(|(_, p)| p.repaired);
-        lacking
+        let mut to_repair: Vec<(&SocketAddr, &mut Peer)> =
+            self.peers.iter_mut().filter(|(_, p)| p.needs_repair(fence, now)).collect();
+        to_repair.sort_by_key(|(_, p)| p.repaired_at);
+        to_repair
             .into_iter()
-            .take(REPAIRS_AT_ONCE)
+            .take(MAX_REPAIRS_PER_STEP)
             .map(|(to, p)| {
-                p.repaired = Some(now);
+                p.repaired_at = Some(now);
                 Repair { to: *to, known: p.known }
             })
             .collect()
     }
 
-    /// Returns how many daemons there are.
+    /// Returns the number of daemons.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no daemons.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
@@ -166,30 +177,30 @@
     fn new(entry: PeerEntry, now: Time) -> Self {
         Self {
             entry,
-            heard: now,
+            last_seen: now,
             known: Known::default(),
-            has_spoken: false,
-            is_unreached: false,
-            repaired: None,
-            distrusted_until: Time::default(),
+            has_reported: false,
+            misses_heartbeats: false,
+            repaired_at: None,
+            excluded_until: Time::default(),
         }
     }
 
-    /// Tells whether it is to be told something of its own now.
-    fn lacks(&self, fence: u64, now: Time) -> bool {
-        let is_due = self.repaired.is_none_or(|at| now.since(at) >= REPAIR_PAUSE);
-        let lacks =
-            self.known.fence != fence || self.known.missing_to.is_some() || self.is_unreached;
-        let has_just_spoken = now.since(self.heard) < BEAT;
-        self.has_spoken && is_due && lacks && has_just_spoken
+    /// Returns whether the daemon needs a repair now.
+    fn needs_repair(&self, fence: u64, now: Time) -> bool {
+        let is_due = self.repaired_at.is_none_or(|at| now.since(at) >= REPAIR_INTERVAL);
+        let lacks_changes =
+            self.known.fence != fence || self.known.missing_to.is_some() || self.misses_heartbeats;
+        let has_just_reported = now.since(self.last_seen) < BEAT;
+        self.has_reported && is_due && lacks_changes && has_just_reported
     }
 
-    fn seat(&self, now: Time) -> Seat {
+    fn relay_candidate(&self, now: Time) -> Seat {
         Seat {
             address: self.entry.address,
             zone: self.entry.zone.clone(),
             link_mbps: self.entry.link_mbps,
-            is_sound: now.since(self.heard) < SOUND_SPAN && now >= self.distrusted_until,
+            is_sound: now.since(self.last_seen) < RELAY_TIMEOUT && now >= self.excluded_until,
         }
     }
 }
--- a/crates/tansyknot-fleet/src/dissemination/changes.rs
+++ b/crates/tansyknot-fleet/src/dissemination/changes.rs
@@ -1,9 +1,9 @@
-//! What the planner tells of targets, numbered, so that whoever misses a change knows it.
+//! The planner's changes to targets, numbered, so that a daemon detects those that it misses.
 //!
-//! A daemon that has every number up to the newest knows the list as of the planner's last call.
-//! Nothing is repeated for everyone's sake: one that misses a number says so and is told it again.
-//! Beside its number a change has the store's version as of which it holds, by which a daemon goes
-//! on under another planner, whose numbers are its own.
+//! A daemon that has every number up to the newest has the list as of the planner's last call to
+//! the store. Changes are not repeated to all daemons: one that misses a number reports it and gets
+//! a repair. Beside its number, a change carries the version of the store as of which it holds. A
+//! daemon needs the version to follow another planner, which numbers changes on its own.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,37 +21,37 @@
 use super::message::{self, TargetNote};
 use crate::target::{Born, Held, Removal, Target, TargetState};
 
-/// Changes are kept this long for daemons that were away: the longest that the network or a freeze
-/// keeps one away and leaves the store's history of use.
-const KEPT_SPAN: Duration = Duration::from_secs(10);
-/// A note of what the planner has done is told again for this long; the list shows it later.
-const NOTE_SPAN: Duration = Duration::from_millis(1000);
+/// How long changes are retained for daemons that were unreachable: the longest network outage or
+/// freeze of a daemon after which the store's history is still of use.
+const CHANGE_RETENTION: Duration = Duration::from_secs(10);
+/// How long the planner's override of a target is included in updates; later, the list shows it.
+const OVERRIDE_WINDOW: Duration = Duration::from_millis(1000);
 
-/// An entry of the list without what only the planner needs.
+/// An entry of the list of targets, without the fields that only the planner needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The target.
+    /// The target's name.
     pub name: TargetName,
-    /// When its run began, if it says so.
+    /// When its run started, if the target reports it.
     pub born: Option<Born>,
     /// The service that it serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: TargetState,
-    /// Requests that it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
-    /// The models that it holds.
+    /// The loaded models.
     pub models: Vec<Held>,
     /// The version of the entry.
     pub version: u64,
 }
 
 impl Entry {
-    /// Takes what requests need of a target.
+    /// Creates an entry from the fields of a target that serving requests needs.
     pub fn of(target: &Target) -> Self {
         Self {
             name: target.name.clone(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Makes a target of the entry, with the copies of weights that are known of its run.
+    /// Converts the entry into a target, with the copies of weights that `known` has of its run.
     pub fn into_target(self, known: Option<&Target>) -> Target {
         let known = known.filter(|t| t.born == self.born);
         Target {
@@ -84,87 +84,88 @@
         }
     }
 
-    /// Takes in what the target holds now.
-    fn with(self, newer: EntryModels) -> Self {
+    /// Replaces the loaded models and the version by those of a newer change.
+    fn with_models(self, newer: EntryModels) -> Self {
         let EntryModels { models, version, .. } = newer;
         Self { models, version, ..self }
     }
 
-    /// Returns the change of an entry that differs in what it holds alone.
+    /// Converts the entry into a change of its loaded models only.
     pub fn into_models(self) -> Change {
         let Self { name, models, version, .. } = self;
         Change::Models(EntryModels { name, models, version })
     }
 
-    /// Tells whether the two differ in what they hold at most.
+    /// Returns whether the entry equals `target` except for the loaded models and the version.
     pub fn is_same_but_models(&self, target: &Target) -> bool {
-        let alike =
+        let same_models =
             Entry { version: target.version, models: target.models.clone(), ..self.clone() };
-        alike == Entry::of(target)
+        same_models == Entry::of(target)
     }
 
-    /// Tells whether requests are treated alike by both.
+    /// Returns whether the entry equals `target` except for the version.
     pub fn is_same(&self, target: &Target) -> bool {
         Entry { version: target.version, ..self.clone() } == Entry::of(target)
     }
 }
 
-/// A change that daemons are told.
+/// A change that the planner publishes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The entry of the list is new or has changed.
+    /// An entry of the list is new or has changed.
     Put(Entry),
-    /// An entry that differs in what it holds alone.
+    /// Only the loaded models of an entry have changed.
     Models(EntryModels),
-    /// The entry is gone.
+    /// An entry was removed.
     Removed(Removal),
-    /// The planner has changed the target, or knows of it before the list does.
+    /// The planner has changed a target, or has a newer state of it than the list.
     Note(TargetNote),
-    /// The planner has read the whole list.
+    /// The planner has read the full list.
     Whole(WholeRead),
 }
 
-/// A reading of the whole list by a daemon that knew it as of an earlier version.
+/// A read of the full list by a daemon that had it as of an earlier version.
 ///
-/// What has come and gone in between shows in neither, so that nobody can be told of it. A daemon
-/// that has read the list itself in between may know it, and reads the list again.
+/// An entry that was both added and removed in between shows in neither version and cannot be
+/// published. A daemon that has read the list itself in between may have such an entry, and reads
+/// the list again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WholeRead {
-    /// The store's version as of which the list was known before.
+    /// The version of the store as of which the daemon had the list before.
     pub after: u64,
-    /// The store's version as of which it was read.
+    /// The version of the store as of which it was read.
     pub version: u64,
 }
 
 impl WholeRead {
-    /// Tells whether changes may be missing to a daemon that has read the list as of `version`.
+    /// Returns whether a daemon that has read the list as of `version` may miss changes.
     pub fn leaves_out(&self, version: u64) -> bool {
         self.after < version && version < self.version
     }
 
-    /// Returns what both readings together leave out.
+    /// Returns the range of versions that both reads together leave out.
     pub fn with(self, earlier: Self) -> Self {
         Self { after: earlier.after.min(self.after), version: earlier.version.max(self.version) }
     }
 }
 
-/// What an entry that is known holds now.
+/// The loaded models of an entry that was published before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryModels {
-    /// The target.
+    /// The target's name.
     pub name: TargetName,
-    /// The models that it holds.
+    /// The loaded models.
     pub models: Vec<Held>,
     /// The version of the entry.
     pub version: u64,
 }
 
-/// What a later change takes the place of.
+/// The subject of a change: a later change of the same subject replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Subject {
     Entry(TargetName),
-    Note(TargetName),
-    Whole,
+    Override(TargetName),
+    FullRead,
 }
 
 impl Change {
@@ -173,126 +174,130 @@
             Change::Put(entry) => Subject::Entry(entry.name.clone()),
             Change::Models(entry) => Subject::Entry(entry.name.clone()),
             Change::Removed(removal) => Subject::Entry(removal.name.clone()),
-            Change::Note(note) => Subject::Note(note.target.clone()),
-            Change::Whole(_) => Subject::Whole,
+            Change::Note(note) => Subject::Override(note.target.clone()),
+            Change::Whole(_) => Subject::FullRead,
         }
     }
 }
 
-/// Changes with the numbers after `from`, up to `to`.
+/// The changes with the numbers after `from`, up to and including `to`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListNews {
     /// The number before the first change.
     pub from: u64,
-    /// The store's version as of which every change up to `from` holds.
+    /// The version of the store as of which every change up to `from` holds.
     pub base: u64,
     /// The number of the last change.
     pub to: u64,
-    /// The number of the newest change of all; other datagrams have what lies between.
+    /// The number of the newest change of all; other datagrams carry those after `to`.
     pub newest: u64,
     /// How long ago the list was read, in milliseconds.
     pub age_ms: u32,
-    /// The store's version that the list is to be followed from.
+    /// The version of the store from which to follow the list.
     pub version: u64,
-    /// The changes and their numbers. A number that is left out belongs to a change that a later
-    /// one takes the place of, or that no longer counts.
+    /// The changes and their numbers. A missing number belongs to a change that a later one has
+    /// replaced, or that is no longer relevant.
     pub changes: Vec<(u64, Change)>,
 }
 
 impl ListNews {
-    /// Takes the changes but the first `count` off, as news that go on from those.
+    /// Splits off all changes after the first `count`, as an update that continues from those.
     pub fn split_off(&mut self, count: usize) -> Self {
         let rest = self.changes.split_off(count.min(self.changes.len()));
         let to = self.to;
         if !rest.is_empty() {
             self.to = self.changes.last().map_or(self.from, |(number, _)| *number);
         }
-        // Nobody joins in the middle.
+        // A daemon must not begin to follow in the middle of an update.
         let base = if self.to == self.from { self.base } else { u64::MAX };
         Self { from: self.to, base, to, changes: rest, ..self.clone() }
     }
 }
 
-/// The planner's last reading of the list.
+/// The planner's last read of the list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ListRead {
     /// How long ago it was.
     pub age: Duration,
-    /// The store's version to go on from.
+    /// The version of the store from which to continue.
     pub version: u64,
 }
 
-/// A change that may be asked for again.
+/// A change that is retained for repairs.
 #[derive(Clone, Debug)]
-struct Kept {
+struct LoggedChange {
     at: Time,
-    /// The store's version as of which it holds.
+    /// The version of the store as of which it holds.
     version: u64,
     change: Change,
 }
 
-/// The changes that a daemon has seen, numbered.
+/// The numbered log of the changes that a daemon has seen.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     last: u64,
-    /// Changes up to this number can't be asked for any more.
+    /// Changes up to this number are no longer retained.
     floor: u64,
-    /// The store's version as of which all of them hold.
+    /// The version of the store as of which those changes hold.
     floor_version: u64,
-    /// The newest version of all.
+    /// The newest version of the store among all changes.
     newest_version: u64,
-    kept: BTreeMap<u64, Kept>,
-    numbers: HashMap<Subject, u64>,
-    /// Whether the list has not been read yet, so that these changes go on from no version.
+    logged: BTreeMap<u64, LoggedChange>,
+    latest_numbers: HashMap<Subject, u64>,
+    /// Whether the list has not been read yet, so that the changes continue from no version.
     is_unread: bool,
 }
 
 impl ChangeLog {
-    /// Makes the log of a daemon that has not read the list yet.
+    /// Creates the log of a daemon that has not read the list yet.
     pub fn unread() -> Self {
         Self { is_unread: true, ..Self::default() }
     }
 
-    /// Adds a change that holds as of the store's `version`. It takes the place of earlier ones
-    /// about the same.
+    /// Adds a change that holds as of `version` of the store. It replaces an earlier change of the
+    /// same subject.
     pub fn add(&mut self, change: Change, version: u64, now: Time) {
         self.last += 1;
-        let before = self.numbers.insert(change.subject(), self.last);
-        let before = before.and_then(|number| self.kept.remove(&number));
-        // Whoever lacks the earlier change lacks more than what an entry holds.
-        let change = match (before.map(|kept| kept.change), change) {
-            (Some(Change::Put(entry)), Change::Models(newer)) => Change::Put(entry.with(newer)),
+        let before = self.latest_numbers.insert(change.subject(), self.last);
+        let before = before.and_then(|number| self.logged.remove(&number));
+        // A daemon that lacks the replaced change needs the full entry, not only its models.
+        let change = match (before.map(|logged| logged.change), change) {
+            (Some(Change::Put(entry)), Change::Models(newer)) => {
+                Change::Put(entry.with_models(newer))
+            }
             (Some(Change::Whole(earlier)), Change::Whole(read)) => {
                 Change::Whole(read.with(earlier))
             }
             (_, change) => change,
         };
         self.newest_version = self.newest_version.max(version);
-        self.kept.insert(self.last, Kept { at: now, version, change });
+        self.logged.insert(self.last, LoggedChange { at: now, version, change });
         self.forget(now);
     }
 
-    /// Leaves a number out, so that all who know less of the list than `version` ask the store.
+    /// Skips a number, so that daemons that have the list as of a version before `version` query
+    /// the store.
     pub fn skip(&mut self, version: u64) {
         self.is_unread = false;
         self.last += 1;
         self.floor = self.last;
         self.newest_version = self.newest_version.max(version);
         self.floor_version = self.newest_version;
-        self.kept.clear();
-        self.numbers.clear();
+        self.logged.clear();
+        self.latest_numbers.clear();
     }
 
+    /// Drops changes that have passed their retention.
     fn forget(&mut self, now: Time) {
-        while let Some(first) = self.kept.first_entry()
-            && now.since(first.get().at) >= KEPT_SPAN
+        while let Some(first) = self.logged.first_entry()
+            && now.since(first.get().at) >= CHANGE_RETENTION
         {
             self.floor = *first.key();
-            let kept = first.remove();
-            self.floor_version = self.floor_version.max(kept.version);
-            let subject = kept.change.subject();
-            if self.numbers.get(&subject) == Some(&self.floor) {
-                self.numbers.remove(&subject);
+            let logged = first.remove();
+            self.floor_version = self.floor_version.max(logged.version);
+            let subject = logged.change.subject();
+            if self.latest_numbers.get(&subject) == Some(&self.floor) {
+                self.latest_numbers.remove(&subject);
             }
         }
     }
@@ -304,21 +309,21 @@
 
     /// Returns the number of the last change that was added before `at`.
     pub fn number_before(&self, at: Time) -> u64 {
-        let later = self.kept.iter().find(|(_, kept)| kept.at >= at);
+        let later = self.logged.iter().find(|(_, logged)| logged.at >= at);
         later.map_or(self.last, |(number, _)| number - 1)
     }
 
-    /// Returns the last number up to which a daemon knows every change that knows the list as of
-    /// `version`; `None` if that can't be told any more.
+    /// Returns the number up to which a daemon that has the list as of `version` has every change;
+    /// `None` if the log no longer reaches back that far.
     pub fn known_at(&self, version: u64) -> Option<u64> {
         if self.is_unread || self.floor_version > version {
             return None;
         }
-        let newer = self.kept.iter().find(|(_, kept)| kept.version > version);
+        let newer = self.logged.iter().find(|(_, logged)| logged.version > version);
         Some(newer.map_or(self.last, |(number, _)| number - 1))
     }
 
-    /// Returns the store's version as of which every change up to `number` holds.
+    /// Returns the version of the store as of which every change up to `number` holds.
     fn base(&self, number: u64) -> u64 {
         if self.is_unread {
             return u64::MAX;
@@ -326,29 +331,29 @@
         if number == self.last {
             return self.newest_version;
         }
-        let versions = self.kept.range(..=number).map(|(_, kept)| kept.version);
+        let versions = self.logged.range(..=number).map(|(_, logged)| logged.version);
         versions.fold(self.floor_version, u64::max)
     }
 
-    /// Returns the changes after number `after` that can still be told.
+    /// Returns the retained changes after number `after`.
     pub fn news(&mut self, after: u64, read: ListRead, now: Time) -> ListNews {
         self.news_between(after, self.last, read, now)
     }
 
-    /// Returns the changes after number `after`, up to `to`, that can still be told.
+    /// Returns the retained changes after number `after`, up to and including `to`.
     pub fn news_between(&mut self, after: u64, to: u64, read: ListRead, now: Time) -> ListNews {
         self.forget(now);
         let from = after.max(self.floor).min(self.last);
         let to = to.clamp(from, self.last);
-        let counts = |kept: &Kept| match kept.change {
-            Change::Note(_) => now.since(kept.at) < NOTE_SPAN,
+        let is_current = |logged: &LoggedChange| match logged.change {
+            Change::Note(_) => now.since(logged.at) < OVERRIDE_WINDOW,
             _ => true,
         };
         let changes: Vec<(u64, Change)> = self
-            .kept
+            .logged
             .range((Bound::Excluded(from), Bound::Included(to)))
-            .filter(|(_, kept)| counts(kept))
-            .map(|(number, kept)| (*number, kept.change.clone()))
+            .filter(|(_, logged)| is_current(logged))
+            .map(|(number, logged)| (*number, logged.change.clone()))
             .collect();
         let newest = self.last;
         let (age_ms, base) = (message::millis(read.age), self.base(from));
--- a/crates/tansyknot-fleet/src/dissemination/message.rs
+++ b/crates/tansyknot-fleet/src/dissemination/message.rs
@@ -1,7 +1,7 @@
-//! Messages between daemons: demand to the planner, and what the planner has done to all.
+//! Messages between daemons: demand to the planner, the planner's updates to all, and others.
 //!
-//! Each is one datagram. Any of them may be lost and none carries authority: orders rest on the
-//! store's row, and the list of targets corrects every view.
+//! Each message is sent in one datagram, which may be lost. No message carries authority: orders
+//! depend on the planner's row in the store, and the list of targets corrects every view.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,80 +19,80 @@
     target::{Born, Held, TargetState},
 };
 
-/// What one daemon has asked of a model since it started.
+/// The demand of one daemon for a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelUse {
     /// The service.
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
-    /// The adapter; `None` stands for the model alone.
+    /// The adapter; `None` stands for the model without one.
     pub adapter: Option<AdapterName>,
-    /// Requests that wait for it to be loaded.
+    /// The number of requests that wait for a load.
     pub waiting: u16,
-    /// Requests since the daemon started.
+    /// The number of requests since the daemon started.
     pub arrived: u32,
 }
 
-/// Requests of one daemon that a target has now.
+/// The requests of one daemon in flight at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlight {
     /// The target.
     pub target: TargetName,
     /// The model.
     pub model: Option<ModelName>,
-    /// The requests.
+    /// The number of requests.
     pub count: u16,
 }
 
-/// What the planner has done to a target, or knows of it before the list does.
+/// A state of a target that precedes the list: the planner has ordered it, or received it first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetNote {
     /// The target.
     pub target: TargetName,
-    /// When the run that it is about began, if it says so.
+    /// When the target's run started, if the target reports it.
     pub born: Option<Born>,
-    /// Rises with each note that a planner makes of a target.
+    /// Rises with each override that a planner makes of the target.
     pub revision: u64,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     pub state: TargetState,
-    /// What it holds.
+    /// The loaded models.
     pub models: Vec<Held>,
 }
 
-/// Requests of all daemons that a target has now.
+/// The requests of all daemons in flight at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
     /// The target.
     pub target: TargetName,
-    /// The requests.
+    /// The number of requests.
     pub requests: u16,
 }
 
-/// What a daemon tells the planner.
+/// A daemon's demand, reported to the planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The daemon.
     pub daemon: Arc<str>,
-    /// This run of it.
+    /// The identifier of this run of the daemon.
     pub incarnation: Arc<str>,
-    /// Rises with each demand that the daemon tells. Parts with the same number make a whole.
+    /// The sequence number, which rises with each demand. Parts of a split demand have the same.
     pub beat: u32,
     /// The daemon's availability zone.
     pub zone: ZoneName,
-    /// Its link in Mbit/s, if it is known.
+    /// The rate of its network link in Mbit/s, if known.
     pub link_mbps: Option<u32>,
-    /// What it has of the planner's news.
+    /// What it has received of the planner's updates.
     pub known: Known,
     /// Models in use.
     pub models: Vec<ModelUse>,
-    /// Requests at targets.
+    /// Requests in flight at targets.
     pub in_flight: Vec<InFlight>,
-    /// The poison requests that it knows.
+    /// The digest of its convicted poison requests.
     pub poison: Digest,
-    /// What it has found lately of requests under which targets crashed.
+    /// Its recent evidence about requests under which targets crashed.
     pub crashes: Vec<Evidence>,
-    /// Backpressure signals that it has received lately.
+    /// Backpressure signals that it has received recently.
     pub signals: Vec<RunSummary>,
 }
 
@@ -103,78 +103,78 @@
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
-    /// When it should be there, in milliseconds from now.
+    /// When the load is due, in milliseconds from the time of sending.
     pub in_ms: u32,
 }
 
 impl Coming {
-    /// Returns what is loaded.
+    /// Returns the service and model that are loaded.
     pub fn key(&self) -> (ServiceName, ModelName) {
         (self.service.clone(), self.model.clone())
     }
 
-    /// Returns when it should be there, if it was told `now`.
+    /// Returns when the load is due, if the message was sent at `now`.
     pub fn due(&self, now: Time) -> Time {
         now + Duration::from_millis(self.in_ms.into())
     }
 }
 
-/// How much of what a planner knows its news tell.
+/// Whether an update has the planner's full loads or only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Extent {
-    /// All of it, in place of what was told before.
+    /// All loads and pending loads, which replace those of earlier updates.
     All,
-    /// What has changed.
+    /// Only those that have changed.
     Changes,
 }
 
-/// What the planner tells every daemon.
+/// An update that the planner publishes to all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// The planner's fencing token.
     pub fence: u64,
-    /// The planner.
+    /// The planner's name.
     pub planner: Arc<str>,
-    /// Where demand reaches it.
+    /// The address to which demand is sent.
     pub address: SocketAddr,
-    /// Rises with each news of a planner. Parts with the same number make a whole.
+    /// The sequence number, which rises with each update. Parts of a split update have the same.
     pub beat: u32,
-    /// What of `coming` and `loads` is told.
+    /// The extent of `coming` and `loads`.
     pub extent: Extent,
     /// The version of the planner's row that it wrote last.
     pub lease_version: u64,
     /// How long ago that write was sent, in milliseconds.
     pub lease_age_ms: u32,
-    /// Daemons that the planner has heard of lately.
+    /// The number of daemons from which the planner has recently received demand.
     pub daemons: u16,
-    /// The poison requests that the planner knows.
+    /// The digest of the planner's convicted poison requests.
     pub poison: Digest,
-    /// The configuration that the planner has in force.
+    /// The version of the configuration that the planner has in force.
     pub config: u64,
-    /// How long ago the planner asked the store for it, in milliseconds.
+    /// How long ago the planner queried the store for it, in milliseconds.
     pub config_age_ms: u32,
-    /// Changes of the list of targets, and what the planner has done to them.
+    /// Changes of the list of targets, and overrides of the planner.
     pub list: ListNews,
-    /// Some of the daemons.
+    /// A part of the list of daemons.
     pub peers: Vec<PeerEntry>,
     /// Models that are being loaded.
     pub coming: Vec<Coming>,
-    /// Targets that have requests.
+    /// Targets with requests in flight.
     pub loads: Vec<TargetLoad>,
     /// Backpressure signals of targets.
     pub signals: Vec<RunSummary>,
 }
 
-/// News that a daemon passes on.
+/// An update for a relay to forward.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forward {
-    /// Whom they are for, beside the daemon itself.
+    /// The recipients beside the relay itself.
     pub to: Vec<SocketAddr>,
-    /// The datagram.
+    /// The datagram of the update.
     pub datagram: Vec<u8>,
 }
 
-/// A message.
+/// A message between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// From a daemon to the planner.
@@ -183,28 +183,30 @@
     News(News),
     /// From the planner to a relay.
     Forward(Forward),
-    /// From any daemon to any other: what it knows of requests under which targets crashed.
+    /// From any daemon to any other: evidence about requests under which targets crashed.
     Crashes(Vec<Evidence>),
-    /// From a daemon to the planner, with each beat, where requests need keys.
+    /// From a daemon to the planner with each heartbeat, where requests need keys.
     Question(access::message::Question),
-    /// The planner's answer to it.
+    /// The planner's reply to a [`Message::Question`].
     Answer(access::message::Answer),
     /// From a daemon to the planner, for a request whose team has a quota.
     Take(access::message::Take),
-    /// The planner's answer to it.
+    /// The planner's reply to a [`Message::Take`].
     Taken(access::message::Taken),
-    /// From any daemon to any other while there is no planner: signals that it has received.
+    /// From a daemon to all others while there is no planner: signals that it has received.
     Signals(Vec<RunSummary>),
-    /// From a daemon to the one that decides, for a request that could go to a target with a limit.
+    /// From a daemon to the one that grants permits, for a request that could go to a target with a
+    /// limit.
     PermitAsk(backpressure::message::PermitAsk),
-    /// The answer to it.
+    /// The reply to a [`Message::PermitAsk`].
     PermitAnswer(backpressure::message::PermitAnswer),
-    /// From a daemon to the one that decides: such a request does not wait any more.
+    /// From a daemon to the one that grants permits: a request no longer waits for one.
     PermitEnd(backpressure::message::PermitEnd),
 }
 
 impl Message {
-    /// Splits a message in two that say the same together; `None` if it has but one item.
+    /// Splits a message into two with the same content together; `None` if it has fewer than two
+    /// items.
     pub(super) fn split(self) -> Option<(Self, Self)> {
         match self {
             Message::Forward(_)
@@ -227,8 +229,8 @@
                 let (first, rest) = demand.split()?;
                 Some((Message::Demand(first), Message::Demand(rest)))
             }
-            Message::News(news) => {
-                let (first, rest) = news.split()?;
+            Message::News(update) => {
+                let (first, rest) = update.split()?;
                 Some((Message::News(first), Message::News(rest)))
             }
         }
@@ -242,28 +244,29 @@
         if items < 2 {
             return None;
         }
-        let mut left = items / 2;
-        let models = split_off(&mut self.models, &mut left);
-        let in_flight = split_off(&mut self.in_flight, &mut left);
-        let crashes = split_off(&mut self.crashes, &mut left);
-        let signals = split_off(&mut self.signals, &mut left);
+        let mut room = items / 2;
+        let models = split_off(&mut self.models, &mut room);
+        let in_flight = split_off(&mut self.in_flight, &mut room);
+        let crashes = split_off(&mut self.crashes, &mut room);
+        let signals = split_off(&mut self.signals, &mut room);
         let rest = Self { models, in_flight, crashes, signals, ..self.clone() };
         Some((self, rest))
     }
 }
 
-/// Loads, and models that come, that a daemon is told of at once. Each takes some 15 bytes 3.3
-/// times a second: these 13 KB/s of the 19 KB/s that control may take of a daemon's link. They don't
-/// depend on the fleet, as relays carry them; with more targets a daemon hears of the fullest.
-const ENTRIES_MOST: usize = 260;
+/// Maximum number of loads, and of pending loads, in one update. At about 15 bytes each, 3.3 times
+/// a second, these take 13 KB/s of the 19 KB/s that control traffic may take of a daemon's link.
+/// The traffic does not grow with the fleet, as relays forward updates; with more targets, an
+/// update has those with the most requests.
+const MAX_UPDATE_ENTRIES: usize = 260;
 
 impl News {
-    /// Keeps the fullest targets, and the models that come soonest.
+    /// Limits the update to the targets with the most requests and the pending loads due soonest.
     pub fn trim(&mut self) {
         self.loads.sort_by_key(|load| std::cmp::Reverse(load.requests));
-        self.loads.truncate(ENTRIES_MOST);
+        self.loads.truncate(MAX_UPDATE_ENTRIES);
         self.coming.sort_by_key(|coming| coming.in_ms);
-        self.coming.truncate(ENTRIES_MOST);
+        self.coming.truncate(MAX_UPDATE_ENTRIES);
     }
 
     fn split(mut self) -> Option<(Self, Self)> {
@@ -273,26 +276,26 @@
         if items < 2 {
             return None;
         }
-        let mut left = items / 2;
-        let list = self.list.split_off(left);
-        left -= self.list.changes.len();
-        let peers = split_off(&mut self.peers, &mut left);
-        let coming = split_off(&mut self.coming, &mut left);
-        let loads = split_off(&mut self.loads, &mut left);
-        let signals = split_off(&mut self.signals, &mut left);
+        let mut room = items / 2;
+        let list = self.list.split_off(room);
+        room -= self.list.changes.len();
+        let peers = split_off(&mut self.peers, &mut room);
+        let coming = split_off(&mut self.coming, &mut room);
+        let loads = split_off(&mut self.loads, &mut room);
+        let signals = split_off(&mut self.signals, &mut room);
         let rest = Self { list, peers, coming, loads, signals, ..self.clone() };
         Some((self, rest))
     }
 }
 
-/// Takes the items but the first `left` off; `left` is how many more may stay elsewhere then.
-fn split_off<T>(items: &mut Vec<T>, left: &mut usize) -> Vec<T> {
-    let stay = items.len().min(*left);
-    *left -= stay;
-    items.split_off(stay)
+/// Splits off all items after the first `room`; subtracts the number of kept items from `room`.
+fn split_off<T>(items: &mut Vec<T>, room: &mut usize) -> Vec<T> {
+    let kept = items.len().min(*room);
+    *room -= kept;
+    items.split_off(kept)
 }
 
-/// Returns a span in whole milliseconds, as messages have it.
-pub fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+/// Returns a duration in whole milliseconds, as it is encoded in messages.
+pub fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
