--- a/crates/tansyknot-fleet/src/conduct.rs
+++ b/crates/tansyknot-fleet/src/conduct.rs
@@ -1,4 +1,5 @@
-//! The conversation between daemons: demand goes to the planner, who plans, orders and tells all.
+//! Coordination between daemons: each daemon sends its demand to the planner, which plans, orders
+//! targets and publishes updates to all daemons.
 
 mod account;
 mod crashes;
@@ -38,54 +39,54 @@
     task::Orders,
 };
 
-use account::Account;
-use crashes::Resent;
-use telling::Told;
+use account::CoordinationStats;
+use crashes::ResendTimes;
+use telling::Published;
 
-/// One daemon's part in the conversation.
+/// One daemon's part in the coordination between daemons.
 pub struct Conductor {
     state: Arc<State>,
     lease: Arc<SharedLease>,
     orders: Arc<Orders>,
     planner: Mutex<Planner>,
-    told: Mutex<Told>,
-    account: Mutex<Account>,
-    resent: Mutex<Resent>,
-    books: Mutex<Books>,
+    published: Mutex<Published>,
+    stats: Mutex<CoordinationStats>,
+    resend_times: Mutex<ResendTimes>,
+    quota_accounts: Mutex<Books>,
     scheduler: Mutex<Scheduler>,
     peers: Arc<dyn Datagrams>,
     me: Me,
 }
 
-/// What a daemon says of itself to the others.
+/// How a daemon identifies itself to the others.
 #[derive(Clone, Debug)]
 pub struct Me {
-    /// Its name.
+    /// The daemon's name.
     pub daemon: Arc<str>,
-    /// This run of it.
+    /// The identifier of this run of the daemon.
     pub incarnation: Arc<str>,
-    /// Where the others reach it.
+    /// The address at which it receives messages from other daemons.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its link in Mbit/s, if it is known.
+    /// The rate of its network link in Mbit/s, if known.
     pub link_mbps: Option<u32>,
 }
 
 impl Conductor {
-    /// Makes the part of the daemon that `me` describes.
+    /// Creates the conductor of the daemon that `me` describes.
     pub fn new(state: Arc<State>, orders: Arc<Orders>, peers: Arc<dyn Datagrams>, me: Me) -> Self {
         let lease = Arc::clone(&orders.lease);
-        state.peers().set_me(me.address);
+        state.peers().set_local_address(me.address);
         Self {
             state,
             lease,
             orders,
             planner: Mutex::default(),
-            told: Mutex::default(),
-            account: Mutex::default(),
-            resent: Mutex::default(),
-            books: Mutex::default(),
+            published: Mutex::default(),
+            stats: Mutex::default(),
+            resend_times: Mutex::default(),
+            quota_accounts: Mutex::default(),
             scheduler: Mutex::default(),
             peers,
             me,
@@ -96,30 +97,31 @@
         self.planner.lock().expect("no holder of the lock panics")
     }
 
-    fn told(&self) -> MutexGuard<'_, Told> {
-        self.told.lock().expect("no holder of the lock panics")
+    fn published(&self) -> MutexGuard<'_, Published> {
+        self.published.lock().expect("no holder of the lock panics")
     }
 
-    fn account(&self) -> MutexGuard<'_, Account> {
-        self.account.lock().expect("no holder of the lock panics")
+    fn stats(&self) -> MutexGuard<'_, CoordinationStats> {
+        self.stats.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns the planner's books, new ones if this daemon has become the planner since.
-    fn books(&self) -> MutexGuard<'_, Books> {
-        let mut books = self.books.lock().expect("no holder of the lock panics");
-        books.begin(self.lease.fence(), self.state.now());
-        books
+    /// Returns the planner's quota accounts, which are reset if this daemon has become the planner
+    /// since the last call.
+    fn quota_accounts(&self) -> MutexGuard<'_, Books> {
+        let mut quota_accounts = self.quota_accounts.lock().expect("no holder of the lock panics");
+        quota_accounts.begin(self.lease.fence(), self.state.now());
+        quota_accounts
     }
 
     fn scheduler(&self) -> MutexGuard<'_, Scheduler> {
         self.scheduler.lock().expect("no holder of the lock panics")
     }
 
-    /// Receives messages until the socket fails.
+    /// Receives and handles messages until the socket fails.
     ///
     /// # Errors
     ///
-    /// Fails if the socket does.
+    /// Returns an error if receiving from the socket fails.
     pub fn receive(&self, socket: &UdpSocket) -> io::Result<()> {
         let mut buf = [0; 2 * FORWARD_MAX_BYTES];
         loop {
@@ -132,47 +134,49 @@
         }
     }
 
-    /// Takes one datagram in.
+    /// Handles one datagram received from `from`.
     pub fn take(&self, bytes: &[u8], from: SocketAddr) {
         let now = self.state.now();
-        self.account().received.add(bytes.len());
-        self.count(metric::PEER_BYTES_IN, bytes.len());
+        self.stats().received.add(bytes.len());
+        self.count_metric(metric::PEER_BYTES_IN, bytes.len());
         match datagram::decode(bytes) {
-            Some(Message::Demand(demand)) => self.take_demand(demand, from, now),
-            Some(Message::News(news)) => self.take_news(news, now),
-            Some(Message::Forward(forward)) => self.take_forward(&forward, from, now),
-            Some(Message::Crashes(evidence)) => self.take_crashes(&evidence, from, now),
-            Some(Message::Question(question)) => self.take_question(&question, from, now),
-            Some(Message::Answer(answer)) => self.take_answer(&answer, now),
-            Some(Message::Take(take)) => self.take_take(&take, from, now),
-            Some(Message::Taken(taken)) => self.take_taken(taken),
-            Some(Message::Signals(signals)) => self.take_signals(&signals, now),
-            Some(Message::PermitAsk(ask)) => self.take_permit_ask(&ask, from, now),
-            Some(Message::PermitAnswer(answer)) => self.take_permit_answer(&answer, now),
-            Some(Message::PermitEnd(end)) => self.take_permit_end(end, from),
+            Some(Message::Demand(demand)) => self.handle_demand(demand, from, now),
+            Some(Message::News(update)) => self.handle_update(update, now),
+            Some(Message::Forward(forward)) => self.handle_forward(&forward, from, now),
+            Some(Message::Crashes(evidence)) => self.handle_crashes(&evidence, from, now),
+            Some(Message::Question(report)) => self.handle_usage_report(&report, from, now),
+            Some(Message::Answer(reply)) => self.handle_usage_reply(&reply, now),
+            Some(Message::Take(request)) => self.handle_quota_request(&request, from, now),
+            Some(Message::Taken(quota_reply)) => self.handle_quota_reply(quota_reply),
+            Some(Message::Signals(signals)) => self.handle_signals(&signals, now),
+            Some(Message::PermitAsk(query)) => self.handle_permit_query(&query, from, now),
+            Some(Message::PermitAnswer(reply)) => self.handle_permit_reply(&reply, now),
+            Some(Message::PermitEnd(end)) => self.handle_permit_cancel(end, from),
             None => event::DATAGRAM_DROPPED.emit(&[("from", &from)]),
         }
     }
 
-    fn take_demand(&self, demand: Demand, from: SocketAddr, now: Time) {
+    fn handle_demand(&self, demand: Demand, from: SocketAddr, now: Time) {
         let is_urgent = demand.models.iter().any(|u| u.waiting > 0);
         let (zone, link_mbps) = (demand.zone.clone(), demand.link_mbps);
         let entry = PeerEntry { address: from, zone, link_mbps };
-        self.take_crashes(&demand.crashes, from, now);
+        self.handle_crashes(&demand.crashes, from, now);
         self.compare_poison(demand.poison, from, now);
         if self.state.fleet().merge_signals(&demand.signals, now) {
             self.state.view_changed();
         }
-        let lacks = self.told().audience.hear(entry, demand.known, self.lease.fence(), now);
+        let needs_reply =
+            self.published().audience.hear(entry, demand.known, self.lease.fence(), now);
         self.planner().hear(demand, now);
-        if is_urgent || lacks {
+        if is_urgent || needs_reply {
             self.state.demand_changed.raise();
         }
     }
 
-    /// Passes news on, if they are of the newest planner known, and takes them in.
-    fn take_forward(&self, forward: &Forward, from: SocketAddr, now: Time) {
-        let Some(Message::News(news)) = datagram::decode(&forward.datagram) else {
+    /// Relays an update to other followers and applies it, if it comes from the newest planner that
+    /// this daemon has seen.
+    fn handle_forward(&self, forward: &Forward, from: SocketAddr, now: Time) {
+        let Some(Message::News(update)) = datagram::decode(&forward.datagram) else {
             event::DATAGRAM_DROPPED.emit(&[("from", &from)]);
             return;
         };
@@ -180,90 +184,92 @@
             event::DATAGRAM_DROPPED.emit(&[("from", &from)]);
             return;
         }
-        if self.hear(&news, now) {
+        if self.accept_update(&update, now) {
             forward.to.iter().for_each(|peer| self.send_bytes(&forward.datagram, *peer));
-            self.follow(news, now);
+            self.apply_update(update, now);
         }
     }
 
-    fn take_news(&self, news: News, now: Time) {
-        if self.hear(&news, now) {
-            self.follow(news, now);
+    fn handle_update(&self, update: News, now: Time) {
+        if self.accept_update(&update, now) {
+            self.apply_update(update, now);
         }
     }
 
-    /// Tells whether news are of the newest planner known, and another daemon.
-    fn hear(&self, news: &News, now: Time) -> bool {
-        let told = keep::Told {
-            fence: news.fence,
-            daemon: Arc::clone(&news.planner),
-            address: news.address,
-            version: news.lease_version,
-            sent: now.before(Duration::from_millis(news.lease_age_ms.into())),
+    /// Records the contact with the planner that sent `update`. Returns whether it is another
+    /// daemon and the newest planner that this one has seen.
+    fn accept_update(&self, update: &News, now: Time) -> bool {
+        let contact = keep::Told {
+            fence: update.fence,
+            daemon: Arc::clone(&update.planner),
+            address: update.address,
+            version: update.lease_version,
+            sent: now.before(Duration::from_millis(update.lease_age_ms.into())),
         };
-        !self.lease.is_mine() && self.lease.hear(told, now)
+        !self.lease.is_mine() && self.lease.hear(contact, now)
     }
 
-    /// Takes in news of the planner that this daemon follows.
-    fn follow(&self, news: News, now: Time) {
-        self.compare_poison(news.poison, news.address, now);
-        let mine = self.state.catalog().map_or(0, |c| c.version);
-        let (changes, is_behind, begins_to_lack) = {
+    /// Applies an update from the planner that this daemon follows.
+    fn apply_update(&self, update: News, now: Time) {
+        self.compare_poison(update.poison, update.address, now);
+        let own_version = self.state.catalog().map_or(0, |c| c.version);
+        let (changes, is_config_behind, has_new_gap) = {
             let mut followed = self.state.followed();
-            let config_age = Duration::from_millis(news.config_age_ms.into());
-            followed.config(news.config, config_age, now);
-            let lacked = followed.is_missing();
-            let changes = followed.list(news.fence, news.list.clone(), now);
-            let is_behind = mine < followed.config_version();
-            (changes, is_behind, followed.is_missing() && !lacked)
+            let config_age = Duration::from_millis(update.config_age_ms.into());
+            followed.config(update.config, config_age, now);
+            let was_missing = followed.is_missing();
+            let changes = followed.list(update.fence, update.list.clone(), now);
+            let is_config_behind = own_version < followed.config_version();
+            (changes, is_config_behind, followed.is_missing() && !was_missing)
         };
         {
             let mut peers = self.state.peers();
-            news.peers.into_iter().for_each(|peer| peers.add(peer, now));
+            update.peers.into_iter().for_each(|peer| peers.add(peer, now));
         }
         let mut fleet = self.state.fleet();
         fleet.signals_synced();
-        let is_changed = fleet.merge_signals(&news.signals, now) || !changes.is_empty();
-        fleet.set_daemons(news.daemons.into());
-        fleet.set_list_version(news.list.version);
+        let is_changed = fleet.merge_signals(&update.signals, now) || !changes.is_empty();
+        fleet.set_daemons(update.daemons.into());
+        fleet.set_list_version(update.list.version);
         for change in changes {
-            fleet.apply_news(change, news.fence, now);
+            fleet.apply_news(change, update.fence, now);
         }
-        match news.extent {
+        match update.extent {
             Extent::All => {
-                let whole = Whole { fence: news.fence, beat: news.beat };
-                fleet.note_loads(whole, &news.loads, &news.coming, now);
+                let update_id = Whole { fence: update.fence, beat: update.beat };
+                fleet.note_loads(update_id, &update.loads, &update.coming, now);
             }
-            Extent::Changes => fleet.note_changes(&news.loads, &news.coming, now),
+            Extent::Changes => fleet.note_changes(&update.loads, &update.coming, now),
         }
         drop(fleet);
         if is_changed {
             self.state.targets_changed.raise();
         }
-        if is_behind || self.state.list_fresh_for(now).is_zero() {
+        if is_config_behind || self.state.list_fresh_for(now).is_zero() {
             self.state.call_due.raise();
         }
-        if begins_to_lack {
+        if has_new_gap {
             self.state.demand_changed.raise();
         }
     }
 
-    /// Sends demand, or plans and sends news, until the process ends.
+    /// Sends demand as a follower, or plans and publishes updates as the planner, until the process
+    /// ends.
     pub fn conduct(self: &Arc<Self>) {
         let mut seen = 0;
         let mut pace = Pace::new(self.state.now());
         loop {
             let now = self.state.now();
-            let left = pace.left(now).min(self.left(now));
-            let count = self.state.demand_changed.wait(seen, left);
+            let max_wait = pace.left(now).min(self.left(now));
+            let count = self.state.demand_changed.wait(seen, max_wait);
             let has_changed = count != seen;
             seen = count;
             let now = self.state.now();
-            let late = pace.late(now);
+            let delay = pace.late(now);
             let is_due = has_changed || self.left(now).is_zero();
             if let Some(occasion) = pace.occasion(is_due, now) {
                 if occasion == Occasion::Beat {
-                    self.account().lateness.add(late);
+                    self.stats().heartbeat_delay.add(delay);
                 }
                 self.step(occasion);
                 self.state.clock.sleep(pace::pause_after(self.state.now().since(now)));
@@ -271,36 +277,36 @@
         }
     }
 
-    /// Returns how long to wait until something new may be told; a long time if nothing waits.
+    /// Returns how long until waiting changes may be published, or `Duration::MAX` if none wait.
     pub fn left(&self, now: Time) -> Duration {
-        self.told().left(now)
+        self.published().publish_delay(now)
     }
 
-    /// Does once what is due: demand to the planner, or planning and news.
+    /// Runs one step: sends demand as a follower, or plans and publishes as the planner.
     pub fn step(self: &Arc<Self>, occasion: Occasion) {
         let now = self.state.now();
-        let demand = self.demand(now);
+        let demand = self.current_demand(now);
         if occasion == Occasion::Beat {
-            self.ask_planner(now);
+            self.send_usage_report(now);
         }
         if self.lease.is_valid(now) {
-            self.lead(demand, occasion, now);
+            self.run_planner_step(demand, occasion, now);
         } else {
-            self.told().end();
+            self.published().stop();
             self.send_demand(demand);
             self.share_signals(now);
         }
     }
 
-    /// Returns what this daemon asks for.
-    fn demand(&self, now: Time) -> Demand {
-        let beat = self.told().next_beat();
+    /// Returns the demand that this daemon reports to the planner.
+    fn current_demand(&self, now: Time) -> Demand {
+        let beat = self.published().next_seq();
         let known = self.state.followed().known(now);
         let (poison, crashes) = {
             let mut poison = self.state.poison();
             (poison.digest(), poison.found(now))
         };
-        let is_planner_new = self.told().is_planner_new(self.lease.fence(), now);
+        let is_planner_new = self.published().is_planner_new(self.lease.fence(), now);
         let mut fleet = self.state.fleet();
         fleet.expire(now);
         // A new planner may have received no signals yet.
@@ -328,40 +334,40 @@
         }
     }
 
-    fn lead(self: &Arc<Self>, demand: Demand, occasion: Occasion, now: Time) {
-        let is_new = !std::mem::replace(&mut self.told().was_planner, true);
+    fn run_planner_step(self: &Arc<Self>, demand: Demand, occasion: Occasion, now: Time) {
+        let is_new = !std::mem::replace(&mut self.published().was_planner, true);
         if is_new {
             self.state.fleet().signals_synced();
             self.planner().reset();
-            self.begin_telling(now);
-            // The planner before may have left the row of poison requests behind.
+            self.start_publishing(now);
+            // The previous planner may have left the row of poison requests outdated.
             self.state.poison_changed.raise();
         }
-        // All are told at once that there is a new planner.
+        // A new planner announces itself to all daemons at once.
         let occasion = if is_new { Occasion::Beat } else { occasion };
         self.planner().hear(demand, now);
         self.plan(now);
-        let planned = self.state.now();
-        self.send_news(occasion, planned);
-        let told = self.state.now();
+        let planned_at = self.state.now();
+        self.publish(occasion, planned_at);
+        let published_at = self.state.now();
         let daemons = self.planner().daemons();
-        let mut account = self.account();
-        account.planning.add(planned.since(now));
-        account.telling.add(told.since(planned));
-        account.log(daemons, told);
+        let mut stats = self.stats();
+        stats.planning.add(planned_at.since(now));
+        stats.publishing.add(published_at.since(planned_at));
+        stats.log(daemons, published_at);
     }
 
-    /// Adds to a counter of this daemon's conversation.
-    fn count(&self, metric: metric::Metric, n: usize) {
+    /// Adds `n` to a counter, which is recorded under the service name `peers`.
+    fn count_metric(&self, metric: metric::Metric, n: usize) {
         self.orders.recorder.count(metric.name, &ServiceName::from("peers"), n as u64);
     }
 
-    /// Tells whether this daemon is the planner, whom the others follow.
+    /// Returns whether this daemon is the planner.
     pub fn is_planner(&self) -> bool {
         self.lease.is_valid(self.state.now())
     }
 
-    /// Tells whether a load should be done by now and has not shown in the list.
+    /// Returns whether a load is due that the list of targets does not show yet.
     pub fn awaits_load(&self) -> bool {
         self.orders.due.load(Ordering::SeqCst) > 0
     }
--- a/crates/tansyknot-fleet/src/conduct/account.rs
+++ b/crates/tansyknot-fleet/src/conduct/account.rs
@@ -1,14 +1,14 @@
-//! What the conversation between daemons costs the planner, for its log.
+//! Statistics of the planner's message exchange with other daemons, for its log.
 
 use std::time::Duration;
 
 use tansyknot_core::{clock::Time, event};
 
-/// How often the planner logs its account: a line each two seconds of one daemon is few, and a
-/// second that binds still shows in it.
-const EVERY: Duration = Duration::from_secs(2);
+/// How often the planner logs its statistics. One line every two seconds from a single daemon is
+/// cheap, and an overload of one second still shows.
+const LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Datagrams and their bytes.
+/// Counts of datagrams and their bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Volume {
     datagrams: u64,
@@ -22,40 +22,40 @@
     }
 }
 
-/// Spans of one kind of work.
+/// Number, total and maximum of the durations of one kind of work.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Spent {
-    times: u32,
-    sum: Duration,
-    most: Duration,
+pub(super) struct Timing {
+    count: u32,
+    total: Duration,
+    longest: Duration,
 }
 
-impl Spent {
-    pub(super) fn add(&mut self, span: Duration) {
-        self.times += 1;
-        self.sum += span;
-        self.most = self.most.max(span);
+impl Timing {
+    pub(super) fn add(&mut self, duration: Duration) {
+        self.count += 1;
+        self.total += duration;
+        self.longest = self.longest.max(duration);
     }
 }
 
-/// What was sent, received and spent since the last line.
+/// Traffic and time spent since the last log line.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Account {
+pub(super) struct CoordinationStats {
     since: Time,
     pub(super) sent: Volume,
     pub(super) received: Volume,
-    /// Rounds of planning.
-    pub(super) planning: Spent,
-    /// Telling all daemons, the blocking in sending with it.
-    pub(super) telling: Spent,
-    /// How late beats began.
-    pub(super) lateness: Spent,
+    /// Planning rounds.
+    pub(super) planning: Timing,
+    /// Publishing updates to all daemons, including time blocked in sending.
+    pub(super) publishing: Timing,
+    /// Delays of heartbeats against their schedule.
+    pub(super) heartbeat_delay: Timing,
 }
 
-impl Account {
-    /// Logs the account of the planner of `daemons` if it is due, and begins a new one.
+impl CoordinationStats {
+    /// Logs the statistics of a planner of `daemons` daemons and resets them, if a line is due.
     pub(super) fn log(&mut self, daemons: usize, now: Time) {
-        if now.since(self.since) < EVERY {
+        if now.since(self.since) < LOG_INTERVAL {
             return;
         }
         event::FLEET_CONVERSATION.emit(&[
@@ -65,13 +65,13 @@
             ("bytes_out", &self.sent.bytes),
             ("datagrams_in", &self.received.datagrams),
             ("bytes_in", &self.received.bytes),
-            ("rounds", &self.planning.times),
-            ("rounds_ms", &self.planning.sum.as_millis()),
-            ("round_most_ms", &self.planning.most.as_millis()),
-            ("tellings", &self.telling.times),
-            ("tellings_ms", &self.telling.sum.as_millis()),
-            ("telling_most_ms", &self.telling.most.as_millis()),
-            ("beat_late_most_ms", &self.lateness.most.as_millis()),
+            ("rounds", &self.planning.count),
+            ("rounds_ms", &self.planning.total.as_millis()),
+            ("round_most_ms", &self.planning.longest.as_millis()),
+            ("tellings", &self.publishing.count),
+            ("tellings_ms", &self.publishing.total.as_millis()),
+            ("telling_most_ms", &self.publishing.longest.as_millis()),
+            ("beat_late_most_ms", &self.heartbeat_delay.longest.as_millis()),
         ]);
         *self = Self { since: now, ..Self::default() };
     }
--- a/crates/tansyknot-fleet/src/conduct/crashes.rs
+++ b/crates/tansyknot-fleet/src/conduct/crashes.rs
@@ -1,9 +1,10 @@
-//! Telling the other daemons of requests under which targets have crashed.
+//! Distribution of evidence about requests under which targets have crashed.
 //!
-//! What a daemon finds goes straight to all others, so that they know within a round trip whether or
-//! not there is a planner. What was lost on the way is found out by the digest that goes with each
-//! beat, and sent again between the planner and the daemon that differs. The planner is the one that
-//! hears everybody: it tells all when what it has put together convicts a request.
+//! A daemon sends new evidence directly to all others, so that it arrives within a round trip
+//! whether or not there is a planner. Losses are detected by the digest in each heartbeat, after
+//! which the planner and the daemon whose digest differs send each other their evidence again. The
+//! planner receives evidence from every daemon, and notifies all of them when the combined evidence
+//! convicts a request.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -21,54 +22,54 @@
     },
 };
 
-/// How often two daemons that differ send each other all that they convict, 11 KB at most. They
-/// differ for long only if there are more such requests than each of them keeps.
-const RESEND: Duration = Duration::from_millis(600);
-/// Daemons that answer one which has not heard of a convicted request: one of them may be lost, and
-/// all of them would be hundreds.
-const ANSWERERS: u64 = 3;
-/// How often targets that may have ended are looked after: the list is looked up, which costs
-/// microseconds.
-const DOUBT_PACE: Duration = Duration::from_millis(50);
-/// How long to wait for something to tell when nothing is.
-const IDLE: Duration = Duration::from_secs(60);
+/// How often two daemons with different digests send each other all their convicted requests, at
+/// most 11 KB. Digests differ for long only if there are more such requests than a daemon keeps.
+const EVIDENCE_RESEND_INTERVAL: Duration = Duration::from_millis(600);
+/// How many daemons, on average, reply to one that lacks evidence of a convicted request: a single
+/// reply may be lost, and replies of all daemons would be hundreds.
+const REPLYING_DAEMONS: u64 = 3;
+/// How often targets with an unconfirmed crash are checked. A check reads the local list, which
+/// takes microseconds.
+const CRASH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long to wait for new evidence if no target is under a crash check.
+const IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// When each daemon was last sent all that is convicted here.
+/// When all evidence of convicted requests was last sent to each daemon.
 #[derive(Default)]
-pub(super) struct Resent {
-    at: HashMap<SocketAddr, Time>,
+pub(super) struct ResendTimes {
+    sent_at: HashMap<SocketAddr, Time>,
 }
 
-impl Resent {
-    /// Tells whether a daemon may be sent it again, and takes it for sent.
+impl ResendTimes {
+    /// Returns whether evidence may be sent to `to` again, and if so records it as sent.
     fn is_due(&mut self, to: SocketAddr, now: Time) -> bool {
-        self.at.retain(|_, at| now.since(*at) < RESEND);
-        let is_due = !self.at.contains_key(&to);
+        self.sent_at.retain(|_, at| now.since(*at) < EVIDENCE_RESEND_INTERVAL);
+        let is_due = !self.sent_at.contains_key(&to);
         if is_due {
-            self.at.insert(to, now);
+            self.sent_at.insert(to, now);
         }
         is_due
     }
 }
 
 impl Conductor {
-    /// Tells others at once what this daemon finds, until the process ends.
+    /// Sends new evidence to the other daemons as soon as it is found, until the process ends.
     pub fn tell_crashes_on(&self) {
         loop {
             let seen = self.state.poison_changed.count();
             self.look_again();
             self.tell_crashes();
-            let has_doubts = self.state.poison().has_doubts();
-            let pause = if has_doubts { DOUBT_PACE } else { IDLE };
-            self.state.poison_changed.wait(seen, pause);
+            let has_suspects = self.state.poison().has_doubts();
+            let max_wait = if has_suspects { CRASH_CHECK_INTERVAL } else { IDLE_WAIT };
+            self.state.poison_changed.wait(seen, max_wait);
         }
     }
 
-    /// Finds out of targets that have cut requests off, and that somebody listens for, whether they
-    /// have ended.
+    /// Checks whether suspect targets have ended: targets that closed connections early and whose
+    /// address still accepted connections at the first check.
     pub fn look_again(&self) {
-        let doubted = self.state.poison().doubted(self.state.now());
-        for Doubted { run, place, is_look_due } in doubted {
+        let suspects = self.state.poison().doubted(self.state.now());
+        for Doubted { run, place, is_look_due } in suspects {
             let standing = self.state.fleet().standing(&place.name, place.address);
             let presence = match standing {
                 Standing::Leaving => {
@@ -84,21 +85,21 @@
         }
     }
 
-    /// Tells all others what has been found and not been told yet.
+    /// Sends all other daemons the evidence that has not been sent yet.
     pub fn tell_crashes(&self) {
-        let untold = self.state.poison().take_untold();
-        self.tell_all_of(untold);
+        let evidence_to_send = self.state.poison().take_untold();
+        self.send_evidence_to_all(evidence_to_send);
     }
 
-    fn tell_all_of(&self, evidence: Vec<Evidence>) {
+    fn send_evidence_to_all(&self, evidence: Vec<Evidence>) {
         if evidence.is_empty() {
             return;
         }
-        self.send_parts(Message::Crashes(evidence), &self.others());
+        self.send_parts(Message::Crashes(evidence), &self.other_daemons());
     }
 
-    /// Returns where all other daemons hear, as far as they are known; the planner first.
-    pub(super) fn others(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of all other known daemons, the planner's first.
+    pub(super) fn other_daemons(&self) -> Vec<SocketAddr> {
         let planner = self.lease.planner().map(|(_, address)| address);
         let peers = self.state.peers();
         let now = self.state.now();
@@ -106,28 +107,29 @@
         planner.into_iter().chain(others).filter(|address| *address != self.me.address).collect()
     }
 
-    /// Takes in what another daemon knows; tells it what it lacks, and all if this is the planner.
-    pub(super) fn take_crashes(&self, evidence: &[Evidence], from: SocketAddr, now: Time) {
+    /// Merges evidence from another daemon. Sends it what it lacks, and as the planner notifies all
+    /// daemons of requests that are now convicted.
+    pub(super) fn handle_crashes(&self, evidence: &[Evidence], from: SocketAddr, now: Time) {
         let merged = self.state.merge_poison(evidence);
         if merged.convicts && self.lease.is_valid(now) {
             let convicted = self.state.poison().convicted();
-            let is_told = |item: &Evidence| evidence.iter().any(|e| e.request == item.request);
-            self.tell_all_of(convicted.into_iter().filter(is_told).collect());
+            let is_received = |item: &Evidence| evidence.iter().any(|e| e.request == item.request);
+            self.send_evidence_to_all(convicted.into_iter().filter(is_received).collect());
         }
-        if !merged.lacking.is_empty() && self.answers(from) {
-            self.send_crashes(merged.lacking, from);
+        if !merged.lacking.is_empty() && self.is_replier_to(from) {
+            self.send_evidence(merged.lacking, from);
         }
     }
 
-    /// Tells whether this daemon is one of the few that answer `from`.
-    fn answers(&self, from: SocketAddr) -> bool {
+    /// Returns whether this daemon is one of the few that reply to `from`.
+    fn is_replier_to(&self, from: SocketAddr) -> bool {
         let others = self.state.peers().all(self.state.now()).count() as u64;
         let draw = xxh3::xxh3_64(format!("{from} {}", self.me.address).as_bytes());
-        draw % others.max(1) < ANSWERERS
+        draw % others.max(1) < REPLYING_DAEMONS
     }
 
-    /// Takes in which requests another daemon convicts; sends it all that are convicted here if it
-    /// differs.
+    /// Compares the convicted requests of another daemon with this daemon's, and sends it the
+    /// evidence of all requests convicted here if the digests differ.
     pub(super) fn compare_poison(&self, theirs: Digest, from: SocketAddr, now: Time) {
         let evidence = {
             let poison = self.state.poison();
@@ -136,13 +138,14 @@
             }
             poison.convicted()
         };
-        let is_due = self.resent.lock().expect("no holder of the lock panics").is_due(from, now);
+        let is_due =
+            self.resend_times.lock().expect("no holder of the lock panics").is_due(from, now);
         if is_due && !evidence.is_empty() {
-            self.send_crashes(evidence, from);
+            self.send_evidence(evidence, from);
         }
     }
 
-    fn send_crashes(&self, evidence: Vec<Evidence>, to: SocketAddr) {
+    fn send_evidence(&self, evidence: Vec<Evidence>, to: SocketAddr) {
         self.send_parts(Message::Crashes(evidence), &[to]);
     }
 }
--- a/crates/tansyknot-fleet/src/conduct/permit.rs
+++ b/crates/tansyknot-fleet/src/conduct/permit.rs
@@ -1,7 +1,8 @@
-//! Deciding which requests go to targets that name limits, and asking the daemon that does.
+//! Permits for requests to targets with a limit: granting them, and requesting them from the daemon
+//! that grants them.
 //!
-//! That is the planner. While there is none, it is another daemon for each target, the same one for all
-//! that know the same daemons.
+//! The planner grants permits. While there is no planner, one daemon does so for each target;
+//! daemons that have the same list of peers choose the same one.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,12 +20,12 @@
     poison::key::RunKey,
 };
 
-/// A planner that has been silent for so long decides nothing any more: its lease is over.
+/// A planner that has sent no message for this long grants no permits, as its lease has ended.
 const FALLBACK_AFTER: Duration = Duration::from_millis(1500);
-/// How long to wait for requests that ask while none does.
-const IDLE: Duration = Duration::from_secs(60);
+/// How long to wait for a permit query if none is queued.
+const IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// Who decides about one target.
+/// The daemon that grants permits for one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Decider {
     Me,
@@ -33,26 +34,28 @@
 }
 
 impl Conductor {
-    /// Returns by which right this daemon decides.
+    /// Returns the term under which this daemon may grant permits.
     fn term(&self, now: Time) -> Term {
         let fence = self.lease.fence();
         if self.lease.is_valid(now) {
             return Term::Planner(fence);
         }
         match self.lease.silent_for(now) {
-            Some(silent) if silent >= FALLBACK_AFTER && self.knows_others(now) => {
+            Some(silent) if silent >= FALLBACK_AFTER && self.has_full_peer_list(now) => {
                 Term::Fallback(fence)
             }
             Some(_) | None => Term::None,
         }
     }
 
-    /// Tells whether this daemon has had the time to be told of all others: it would take itself for the
-    /// one that a target falls to beside another one that does.
-    fn knows_others(&self, now: Time) -> bool {
-        self.state.runs_for(now) >= peers::TOLD_WITHIN
+    /// Returns whether this daemon has run long enough to have received the addresses of all
+    /// others. With an incomplete list, it could choose itself for a target that falls to another
+    /// daemon.
+    fn has_full_peer_list(&self, now: Time) -> bool {
+        self.state.runs_for(now) >= peers::PEER_LIST_PERIOD
     }
 
+    /// Returns the daemon that grants permits for the target's run.
     fn decider(&self, run: RunKey, now: Time) -> Decider {
         let term = self.term(now);
         let silent = self.lease.silent_for(now);
@@ -60,7 +63,7 @@
             return Decider::Me;
         }
         if silent.is_some_and(|silent| silent < SILENT_AFTER) {
-            return self.planner_elsewhere().map_or(Decider::Nobody, Decider::Other);
+            return self.remote_planner().map_or(Decider::Nobody, Decider::Other);
         }
         let chosen = self.state.peers().chosen(run.0, now);
         match chosen {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Shares the signals that this daemon has received with all others, unless a planner does.
+    /// Sends the signals that this daemon has received to all others, unless a planner does so.
     pub(super) fn share_signals(&self, now: Time) {
         let has_planner = self.lease.silent_for(now).is_some_and(|silent| silent < SILENT_AFTER);
         if has_planner {
@@ -79,66 +82,66 @@
         }
         let signals = self.state.fleet().take_unshared_signals(now);
         if !signals.is_empty() {
-            self.send_parts(Message::Signals(signals), &self.others());
+            self.send_parts(Message::Signals(signals), &self.other_daemons());
         }
     }
 
-    /// Takes in signals that another daemon has received.
-    pub(super) fn take_signals(&self, signals: &[RunSummary], now: Time) {
+    /// Merges signals that another daemon has received.
+    pub(super) fn handle_signals(&self, signals: &[RunSummary], now: Time) {
         if self.state.fleet().merge_signals(signals, now) {
             self.state.targets_changed.raise();
         }
     }
 
-    /// Answers a request that asks, if this daemon decides.
-    pub(super) fn take_permit_ask(&self, ask: &PermitAsk, from: SocketAddr, now: Time) {
-        if self.decider(ask.summary.run, now) != Decider::Me {
+    /// Replies to a permit query, if this daemon grants permits for the target.
+    pub(super) fn handle_permit_query(&self, query: &PermitAsk, from: SocketAddr, now: Time) {
+        if self.decider(query.summary.run, now) != Decider::Me {
             return;
         }
-        let (is_news, rate) = {
+        let (has_new_signal, rate) = {
             let mut fleet = self.state.fleet();
-            (fleet.merge_signals(&[ask.summary], now), fleet.limit(ask.summary.run))
+            (fleet.merge_signals(&[query.summary], now), fleet.limit(query.summary.run))
         };
-        if is_news {
+        if has_new_signal {
             self.state.view_changed();
         }
         let Some(rate) = rate else {
-            return self.answer(from, ask.number, ask.stamp, PermitVerdict::Granted);
+            return self.reply(from, query.number, query.stamp, PermitVerdict::Granted);
         };
-        let asking = Ask {
+        let queued_query = Ask {
             from,
-            number: ask.number,
-            stamp: ask.stamp,
-            priority: ask.priority,
-            until: now + Duration::from_millis(ask.left_ms.into()),
+            number: query.number,
+            stamp: query.stamp,
+            priority: query.priority,
+            until: now + Duration::from_millis(query.left_ms.into()),
         };
-        let place = {
+        let admission = {
             let mut scheduler = self.scheduler();
             scheduler.begin(self.term(now), now);
-            scheduler.ask(ask.summary.run, rate, asking, now)
+            scheduler.ask(query.summary.run, rate, queued_query, now)
         };
-        let verdict = match place {
+        let verdict = match admission {
             Place::Granted => PermitVerdict::Granted,
             Place::Queued(wait) => PermitVerdict::Queued { wait_ms: wait.as_millis() as u32 },
         };
-        self.answer(from, ask.number, ask.stamp, verdict);
+        self.reply(from, query.number, query.stamp, verdict);
         self.grant_permits();
         self.state.permits_changed.raise();
     }
 
-    /// Takes in that a request does not wait any more.
-    pub(super) fn take_permit_end(&self, end: PermitEnd, from: SocketAddr) {
+    /// Removes a request that no longer waits for a permit from the queue.
+    pub(super) fn handle_permit_cancel(&self, end: PermitEnd, from: SocketAddr) {
         self.scheduler().end(end.run, from, end.number);
     }
 
-    /// Takes in the answer to a request of this daemon.
-    pub(super) fn take_permit_answer(&self, answer: &PermitAnswer, now: Time) {
-        if self.state.permits().answered(answer, now) {
+    /// Handles the reply to a permit query of this daemon.
+    pub(super) fn handle_permit_reply(&self, reply: &PermitAnswer, now: Time) {
+        if self.state.permits().answered(reply, now) {
             self.state.targets_changed.raise();
         }
     }
 
-    /// Lets the requests go whose turn it is, if this daemon decides.
+    /// Grants the permits that are due, if this daemon grants permits.
     pub fn grant_permits(&self) {
         let now = self.state.now();
         let granted = {
@@ -146,28 +149,28 @@
             scheduler.begin(self.term(now), now);
             scheduler.grant(&|run| self.state.fleet().limit(run), now)
         };
-        for ask in granted {
-            self.answer(ask.from, ask.number, ask.stamp, PermitVerdict::Granted);
+        for query in granted {
+            self.reply(query.from, query.number, query.stamp, PermitVerdict::Granted);
         }
     }
 
-    /// Lets requests go when it is their turn, until the process ends.
+    /// Grants permits as they become due, until the process ends.
     pub fn grant_permits_on(&self) {
         loop {
             let seen = self.state.permits_changed.count();
             self.grant_permits();
             let next = self.scheduler().next_at();
-            let pause = next.map_or(IDLE, |at| at.since(self.state.now()));
-            self.state.permits_changed.wait(seen, pause);
+            let max_wait = next.map_or(IDLE_WAIT, |at| at.since(self.state.now()));
+            self.state.permits_changed.wait(seen, max_wait);
         }
     }
 
-    fn answer(&self, to: SocketAddr, number: u32, stamp: Stamp, verdict: PermitVerdict) {
-        let answer = PermitAnswer { number, stamp, verdict };
+    fn reply(&self, to: SocketAddr, number: u32, stamp: Stamp, verdict: PermitVerdict) {
+        let reply = PermitAnswer { number, stamp, verdict };
         if to == self.me.address {
-            self.take_permit_answer(&answer, self.state.now());
+            self.handle_permit_reply(&reply, self.state.now());
         } else {
-            self.send_parts(Message::PermitAnswer(answer), &[to]);
+            self.send_parts(Message::PermitAnswer(reply), &[to]);
         }
     }
 }
@@ -180,10 +183,10 @@
         let summary = self.state.fleet().summary(run, now);
         let Some(summary) = summary else { return };
         let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-        let ask = PermitAsk { number, stamp, summary, priority, left_ms };
+        let query = PermitAsk { number, stamp, summary, priority, left_ms };
         match self.decider(run, now) {
-            Decider::Me => self.take_permit_ask(&ask, self.me.address, now),
-            Decider::Other(address) => self.send_parts(Message::PermitAsk(ask), &[address]),
+            Decider::Me => self.handle_permit_query(&query, self.me.address, now),
+            Decider::Other(address) => self.send_parts(Message::PermitAsk(query), &[address]),
             Decider::Nobody => {}
         }
     }
@@ -191,7 +194,7 @@
     fn end(&self, number: u32, run: RunKey) {
         let end = PermitEnd { number, run };
         match self.decider(run, self.state.now()) {
-            Decider::Me => self.take_permit_end(end, self.me.address),
+            Decider::Me => self.handle_permit_cancel(end, self.me.address),
             Decider::Other(address) => self.send_parts(Message::PermitEnd(end), &[address]),
             Decider::Nobody => {}
         }
--- a/crates/tansyknot-fleet/src/conduct/planning.rs
+++ b/crates/tansyknot-fleet/src/conduct/planning.rs
@@ -1,4 +1,4 @@
-//! Planning as the planner: what is known goes in, and tasks are started.
+//! The planner's planning round: plans from the current view and starts the resulting tasks.
 
 use std::{sync::Arc, thread};
 
@@ -26,8 +26,8 @@
             (targets, suspects)
         };
         let opens_at = |name: &TargetName| {
-            let is_reached = !suspects.contains(name);
-            is_reached.then(|| self.lease.opens_at(name, now)).flatten()
+            let is_reachable = !suspects.contains(name);
+            is_reachable.then(|| self.lease.opens_at(name, now)).flatten()
         };
         let tasks = self.planner().plan(&targets, &opens_at, &catalog, now);
         for task in tasks {
@@ -40,19 +40,19 @@
         let name = task.target.name.clone();
         let spawned = thread::Builder::new().name("task".to_owned()).spawn(move || me.run(&task));
         if let Err(e) = spawned {
-            log::warn!("no thread for a task: {e}");
+            log::warn!("could not spawn a thread for a task: {e}");
             self.planner().ended(&name, TaskEnd::Failed, self.state.now());
         }
     }
 
     fn run(&self, task: &Task) {
-        self.count_remote(task);
+        self.count_remote_loads(task);
         let end = self.orders.run(task);
         self.planner().ended(&task.target.name, end, self.state.now());
         self.state.demand_changed.raise();
     }
 
-    fn count_remote(&self, task: &Task) {
+    fn count_remote_loads(&self, task: &Task) {
         let now = self.state.now();
         for step in &task.steps {
             let Action::Load { model, adapter: None } = &step.action else { continue };
@@ -63,16 +63,17 @@
     }
 }
 
-/// Leaves out targets that name limits, unless all of their service do: what they take is too little to
-/// place models by.
+/// Leaves out targets with a limit, whose throughput is too low to place models by. Those of a
+/// service without a ready target that has no limit stay.
 fn without_limited(targets: Vec<Arc<Target>>, limited: &[TargetName]) -> Vec<Arc<Target>> {
     if limited.is_empty() {
         return targets;
     }
-    let (limited, open): (Vec<Arc<Target>>, Vec<Arc<Target>>) =
+    let (limited, unlimited): (Vec<Arc<Target>>, Vec<Arc<Target>>) =
         targets.into_iter().partition(|t| limited.contains(&t.name));
     let is_ready_elsewhere =
-        |t: &Arc<Target>| open.iter().any(|o| o.service == t.service && o.is_ready());
-    let last: Vec<Arc<Target>> = limited.into_iter().filter(|t| !is_ready_elsewhere(t)).collect();
-    [open, last].concat()
+        |t: &Arc<Target>| unlimited.iter().any(|u| u.service == t.service && u.is_ready());
+    let fallback: Vec<Arc<Target>> =
+        limited.into_iter().filter(|t| !is_ready_elsewhere(t)).collect();
+    [unlimited, fallback].concat()
 }
--- a/crates/tansyknot-fleet/src/conduct/quota.rs
+++ b/crates/tansyknot-fleet/src/conduct/quota.rs
@@ -1,4 +1,4 @@
-//! Asking the planner about keys and quotas, and answering as the planner.
+//! Usage reports and quota requests to the planner, and the planner's replies.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,145 +17,146 @@
     dissemination::message::Message,
 };
 
-/// How long a question is waited for before it is asked again: a round trip takes some 3 ms, and a
-/// small host may be late by tens.
+/// How long to wait for a reply before a request is retried: a round trip takes about 3 ms, and a
+/// small host may add tens of milliseconds.
 pub const ANSWER_WITHIN: Duration = Duration::from_millis(100);
 
-/// A planner that is lost is replaced by then. A daemon that nobody answers for longer is cut off, and
-/// others can serve its requests.
+/// A lost planner is replaced within this time. A daemon that receives no reply for longer is
+/// disconnected from the planner, and other daemons can serve its requests.
 pub const CUT_OFF_AFTER: Duration = Duration::from_millis(3300);
-/// Quotas are kept to by a planner that knew them to be the newest so long ago at most: several of
-/// its calls, and less than operators are promised.
-const QUOTAS_FRESH: Duration = Duration::from_millis(1500);
+/// Maximum age of the planner's view of the configuration for it to enforce quotas: several of its
+/// calls to the store, and less than the bound promised to operators.
+const MAX_QUOTA_AGE: Duration = Duration::from_millis(1500);
 
 impl Conductor {
-    /// Tells the planner what this daemon uses of quotas, and asks how old the view of the keys is.
-    pub(super) fn ask_planner(&self, now: Time) {
+    /// Reports this daemon's quota usage to the planner, and queries the age of the planner's view
+    /// of the keys.
+    pub(super) fn send_usage_report(&self, now: Time) {
         if !self.state.needs_keys() {
             return;
         }
-        let question = self.state.pending().question(now);
+        let report = self.state.pending().question(now);
         if self.lease.is_valid(now) {
-            self.keep_books(&question, now);
+            self.record_own_usage(&report, now);
             return;
         }
-        if let Some(planner) = self.planner_elsewhere() {
-            self.send_parts(Message::Question(question), &[planner]);
+        if let Some(planner) = self.remote_planner() {
+            self.send_parts(Message::Question(report), &[planner]);
         }
     }
 
-    /// Returns what the accounts have left, if this is the planner.
+    /// Returns the units left in each team's quota account, if this daemon is the planner.
     pub fn quotas_left(&self) -> Vec<(TeamName, f64)> {
         let now = self.state.now();
-        if self.lease.is_valid(now) { self.books().left(now) } else { Vec::new() }
+        if self.lease.is_valid(now) { self.quota_accounts().left(now) } else { Vec::new() }
     }
 
-    /// Returns where the planner hears, if it is another daemon.
-    pub(super) fn planner_elsewhere(&self) -> Option<SocketAddr> {
+    /// Returns the planner's address, if the planner is another daemon.
+    pub(super) fn remote_planner(&self) -> Option<SocketAddr> {
         let (daemon, address) = self.lease.planner()?;
         (daemon != self.me.daemon).then_some(address)
     }
 
-    /// Keeps the planner's books, of which this daemon's own use is a part.
-    fn keep_books(&self, question: &Question, now: Time) {
-        self.with_teams(|teams, _| {
+    /// Updates the planner's quota accounts and adds this daemon's own usage to them.
+    fn record_own_usage(&self, report: &Question, now: Time) {
+        self.with_fresh_teams(|teams, _| {
             let options = &self.state.access;
-            let mut books = self.books();
-            books.keep(teams, options, now);
-            books.hear(self.me.address, &question.uses, teams, options, now);
+            let mut quota_accounts = self.quota_accounts();
+            quota_accounts.keep(teams, options, now);
+            quota_accounts.hear(self.me.address, &report.uses, teams, options, now);
         });
     }
 
-    /// Does something with the teams in force, if they are known to be of late: a daemon that becomes
-    /// the planner as the store answers again may have quotas of long ago.
-    fn with_teams<T>(&self, f: impl FnOnce(&Teams, &Catalog) -> T) -> Option<T> {
+    /// Calls `f` with the teams in force, if the view of the configuration is fresh: a daemon that
+    /// becomes the planner just as the store returns may have outdated quotas.
+    fn with_fresh_teams<T>(&self, f: impl FnOnce(&Teams, &Catalog) -> T) -> Option<T> {
         let (catalog, view) = self.state.in_force();
         let catalog = catalog?;
         let teams = catalog.teams.as_ref()?;
-        let is_fresh = view.age(catalog.version, self.state.now()) < QUOTAS_FRESH;
+        let is_fresh = view.age(catalog.version, self.state.now()) < MAX_QUOTA_AGE;
         is_fresh.then(|| f(teams, &catalog))
     }
 
-    /// Answers another daemon, if this is the planner.
-    pub(super) fn take_question(&self, question: &Question, from: SocketAddr, now: Time) {
+    /// Handles and replies to the usage report of another daemon, if this daemon is the planner.
+    pub(super) fn handle_usage_report(&self, report: &Question, from: SocketAddr, now: Time) {
         if !self.lease.is_valid(now) {
             return;
         }
-        let answer = self.with_teams(|teams, catalog| {
+        let reply = self.with_fresh_teams(|teams, catalog| {
             let lent = {
-                let mut books = self.books();
-                books.hear(from, &question.uses, teams, &self.state.access, now);
-                books.lend(from, teams, now)
+                let mut quota_accounts = self.quota_accounts();
+                quota_accounts.hear(from, &report.uses, teams, &self.state.access, now);
+                quota_accounts.lend(from, teams, now)
             };
             let as_of = self.state.key_view().as_of(catalog.version);
             Answer {
                 fence: self.lease.fence(),
-                stamp: question.stamp,
+                stamp: report.stamp,
                 config: catalog.version,
-                config_age_ms: as_of.map(|at| millis_up(self.state.now().since(at))),
+                config_age_ms: as_of.map(|at| millis_rounded_up(self.state.now().since(at))),
                 lent,
             }
         });
-        if let Some(answer) = answer {
-            self.send_parts(Message::Answer(answer), &[from]);
+        if let Some(reply) = reply {
+            self.send_parts(Message::Answer(reply), &[from]);
         }
     }
 
-    /// Takes in an answer of the planner: it was made after the question, however long it, or this
-    /// process, has been held up since.
-    pub(super) fn take_answer(&self, answer: &Answer, now: Time) {
-        let Some(asked) = self.state.pending().asked_at(answer.stamp, now) else { return };
-        if let Some(age) = answer.config_age_ms {
-            let as_of = asked.before(Duration::from_millis(age.into()));
-            self.state.key_view().known(answer.config, as_of);
+    /// Handles the planner's reply to a usage report. Ages count from when the report was sent: the
+    /// reply was made after that, however long it or this process was delayed since.
+    pub(super) fn handle_usage_reply(&self, reply: &Answer, now: Time) {
+        let Some(sent_at) = self.state.pending().asked_at(reply.stamp, now) else { return };
+        if let Some(age) = reply.config_age_ms {
+            let as_of = sent_at.before(Duration::from_millis(age.into()));
+            self.state.key_view().known(reply.config, as_of);
         }
-        if answer.fence >= self.lease.fence() {
-            self.state.pending().lent(&answer.lent, answer.fence, asked, now);
+        if reply.fence >= self.lease.fence() {
+            self.state.pending().lent(&reply.lent, reply.fence, sent_at, now);
         }
     }
 
-    /// Answers a request's question, if this is the planner.
-    pub(super) fn take_take(&self, take: &Take, from: SocketAddr, now: Time) {
+    /// Replies to a quota request, if this daemon is the planner.
+    pub(super) fn handle_quota_request(&self, request: &Take, from: SocketAddr, now: Time) {
         if !self.lease.is_valid(now) {
             return;
         }
-        let Take { number, ref team, units } = *take;
+        let Take { number, ref team, units } = *request;
         let asked = Asked { from, number, team, units: f64::from(units) };
-        if let Some(verdict) = self.rule(asked, now) {
-            let taken = Taken { number, verdict };
-            self.send_parts(Message::Taken(taken), &[from]);
+        if let Some(verdict) = self.decide_quota(asked, now) {
+            let quota_reply = Taken { number, verdict };
+            self.send_parts(Message::Taken(quota_reply), &[from]);
         }
     }
 
-    /// Takes in the answer to a request's question.
-    pub(super) fn take_taken(&self, taken: Taken) {
-        if self.state.pending().answered(taken.number, taken.verdict) {
+    /// Handles the reply to a quota request.
+    pub(super) fn handle_quota_reply(&self, quota_reply: Taken) {
+        if self.state.pending().answered(quota_reply.number, quota_reply.verdict) {
             self.state.quota_answered.raise();
         }
     }
 
-    /// Decides as the planner; `None` without a configuration that is known to be new.
-    fn rule(&self, asked: Asked<'_>, now: Time) -> Option<Verdict> {
+    /// Decides a quota request as the planner; `None` if the view of the configuration is too old.
+    fn decide_quota(&self, asked: Asked<'_>, now: Time) -> Option<Verdict> {
         let options = &self.state.access;
-        self.with_teams(|teams, _| self.books().take(asked, teams, options, now))
+        self.with_fresh_teams(|teams, _| self.quota_accounts().take(asked, teams, options, now))
     }
 
-    /// Asks who keeps the accounts; returns the answer if that is this daemon. Another one's comes to
-    /// [`Pending`](crate::access::pending::Pending), if it does.
+    /// Requests units of a quota. Returns the verdict if this daemon is the planner; the reply of
+    /// another planner arrives in [`Pending`](crate::access::pending::Pending), unless it is lost.
     pub fn send_take(&self, number: u32, team: &TeamName, units: f64) -> Option<Verdict> {
         let now = self.state.now();
         if self.lease.is_valid(now) {
-            return self.rule(Asked { from: self.me.address, number, team, units }, now);
+            return self.decide_quota(Asked { from: self.me.address, number, team, units }, now);
         }
-        let take = Take { number, team: team.clone(), units: units as u32 };
-        if let Some(planner) = self.planner_elsewhere() {
-            self.send_parts(Message::Take(take), &[planner]);
+        let request = Take { number, team: team.clone(), units: units as u32 };
+        if let Some(planner) = self.remote_planner() {
+            self.send_parts(Message::Take(request), &[planner]);
         }
         None
     }
 
-    /// Asks who keeps the accounts once; `None` if nobody answers in time.
-    fn ask_once(&self, number: u32, team: &TeamName, units: f64) -> Option<Verdict> {
+    /// Sends one quota request; `None` if no reply arrives in time.
+    fn request_once(&self, number: u32, team: &TeamName, units: f64) -> Option<Verdict> {
         let until = self.state.now() + ANSWER_WITHIN;
         if let Some(verdict) = self.send_take(number, team, units) {
             return Some(verdict);
@@ -173,18 +174,19 @@
         }
     }
 
-    /// Takes from what this daemon was lent; tells whether it could.
+    /// Takes units from the quota lent to this daemon; returns whether enough was left.
     fn take_lent(&self, team: &TeamName, units: f64, now: Time) -> bool {
         let is_taken = self.state.pending().take_lent(team, units, rand::random(), now);
         if is_taken {
-            self.count(metric::QUOTA_LENT, 1);
+            self.count_metric(metric::QUOTA_LENT, 1);
         }
         is_taken
     }
 
-    fn ask_until(&self, number: u32, team: &TeamName, units: f64, until: Time) -> Ruling {
+    /// Retries a quota request until it is decided or `until` has passed.
+    fn request_until(&self, number: u32, team: &TeamName, units: f64, until: Time) -> Ruling {
         loop {
-            let verdict = self.ask_once(number, team, units);
+            let verdict = self.request_once(number, team, units);
             let now = self.state.now();
             match verdict {
                 Some(Verdict::Granted) => {
@@ -195,7 +197,7 @@
                     return Ruling::Over { wait: Duration::from_millis(wait_ms.into()) };
                 }
                 Some(Verdict::Later) => {
-                    // The account has what was lent in its books: both would be too much.
+                    // The account already covers the lent units: using both would exceed the quota.
                     self.state.pending().ask_again(number);
                     self.state.clock.sleep(ANSWER_WITHIN);
                 }
@@ -210,25 +212,25 @@
 }
 
 impl Quotas for Conductor {
-    fn take(&self, team: &TeamName, units: f64, patience: Duration) -> Ruling {
+    fn take(&self, team: &TeamName, units: f64, timeout: Duration) -> Ruling {
         let now = self.state.now();
         let (number, silent) = {
             let mut pending = self.state.pending();
             (pending.ask(team, units, now), pending.silent_for(now))
         };
-        let is_silent = !self.lease.is_valid(now) && silent >= SILENT_AFTER;
-        let ruling = if is_silent && self.take_lent(team, units, now) {
+        let is_planner_unresponsive = !self.lease.is_valid(now) && silent >= SILENT_AFTER;
+        let ruling = if is_planner_unresponsive && self.take_lent(team, units, now) {
             Ruling::Granted
         } else {
-            let left = CUT_OFF_AFTER.saturating_sub(silent);
-            self.ask_until(number, team, units, now + patience.min(left))
+            let outage_left = CUT_OFF_AFTER.saturating_sub(silent);
+            self.request_until(number, team, units, now + timeout.min(outage_left))
         };
         self.state.pending().end(number);
         ruling
     }
 }
 
-/// Returns a span in milliseconds, rounded up: an age must not be told as less than it is.
-fn millis_up(span: Duration) -> u32 {
-    u32::try_from(span.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
+/// Returns a duration in milliseconds, rounded up: an age must not be reported as less than it is.
+fn millis_rounded_up(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
--- a/crates/tansyknot-fleet/src/conduct/telling.rs
+++ b/crates/tansyknot-fleet/src/conduct/telling.rs
@@ -1,4 +1,4 @@
-//! What is told to whom, in which datagrams.
+//! The planner's updates to its followers: their contents, recipients and datagrams.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -22,78 +22,81 @@
     fleet::Whole,
 };
 
-/// Loads that are told in full also between two beats if they are no more than this for all
-/// daemons together: some 7 KB. Nine daemons and targets have 81, the grown sites 6,900, where
-/// they took half of all bytes between zones.
-const ENTRIES_ANYWAY: usize = 500;
-/// A load that differs by fewer requests is not told anew before the beat. Loads on beats alone
-/// were too old at 77 daemons: requests with an objective of 0.3 s were in time in 0.87 of the
-/// cases, not 0.91 (two days). All loads with each change took twice the bytes between zones.
-const LOAD_STEP: u16 = 2;
-/// Loads told anew before the beat at most, those that differ most: half a datagram. At 264 targets
-/// nearly all differ each time, and took a third of all bytes to each daemon.
-const LOADS_BETWEEN: usize = 40;
-/// A new planner begins with what it has learnt within this span: all have heard earlier changes
-/// from the planner before, which was there until 1.5 to 2.3 s ago. Who has not says so.
-const UNTOLD_SPAN: Duration = Duration::from_millis(3000);
-/// A new planner is told for so long what it need not have heard: a few beats, as datagrams get lost.
-const PLANNER_NEW: Duration = Duration::from_millis(1000);
-/// Times at which a model should be there that differ by less are not told anew before the beat.
-const SAME_TIME: Duration = Duration::from_millis(200);
+/// Updates between two heartbeats carry all loads if these make no more entries than this, summed
+/// over all daemons: about 7 KB. Nine daemons and targets make 81 entries. Where there were 6,900,
+/// full loads took half of all bytes between zones.
+const MAX_FULL_LOAD_ENTRIES: usize = 500;
+/// A load that changes by fewer requests is not published before the next heartbeat. With loads
+/// in heartbeats only, these were too old at 77 daemons: 87 % of the requests with an objective of
+/// 0.3 s were in time, instead of 91 %. All loads in each update doubled the bytes between zones.
+const MIN_LOAD_CHANGE: u16 = 2;
+/// Maximum number of loads in an update between two heartbeats, those that changed most: half a
+/// datagram. At 264 targets, nearly all loads change each time; all of them took a third of the
+/// bytes to each daemon.
+const MAX_CHANGED_LOADS: usize = 40;
+/// A new planner begins with the changes that it recorded within this window. The previous planner
+/// was active until 1.5 to 2.3 s ago and published earlier changes; a daemon that lacks one
+/// reports it.
+const UNPUBLISHED_WINDOW: Duration = Duration::from_millis(3000);
+/// A new planner gets everything that it may not have received for this long: a few heartbeats, as
+/// datagrams may be lost.
+const NEW_PLANNER_WINDOW: Duration = Duration::from_millis(1000);
+/// A pending load whose due time changes by less is not published before the next heartbeat.
+const DUE_TIME_TOLERANCE: Duration = Duration::from_millis(200);
 
-/// What this daemon has told as the planner.
+/// What this daemon has published as the planner, and the sequence of its messages.
 #[derive(Default)]
-pub(super) struct Told {
-    /// The revisions told.
-    notes: HashMap<TargetName, u64>,
-    /// The number of the last change, and the configuration's version.
+pub(super) struct Published {
+    /// The revision of each target's override that was published last.
+    override_revisions: HashMap<TargetName, u64>,
+    /// The published number of the last change, and the published configuration version.
     versions: (u64, u64),
-    /// The number of the last demand or news.
-    beat: u32,
-    /// How many beats have been told.
-    beats: u64,
-    /// The links of this daemon or of relays have had their share of news until then.
+    /// The sequence number of the last demand or update.
+    seq: u32,
+    /// The number of heartbeats published.
+    heartbeats: u64,
+    /// Until when the links of this daemon or its relays have used up their share for updates.
     links_busy_until: Time,
-    /// Whether something new waits until then.
+    /// Whether changes wait until then.
     is_pending: bool,
-    /// When models should be there, as it was told last.
-    coming: HashMap<(ServiceName, ModelName), Time>,
-    /// The requests at each target, as they were told last.
+    /// When pending loads are due, as published last.
+    pending_loads: HashMap<(ServiceName, ModelName), Time>,
+    /// The number of requests at each target, as published last.
     loads: HashMap<TargetName, u16>,
     pub(super) audience: Audience,
     pub(super) was_planner: bool,
-    /// The fencing token of the planner that is told, and since when.
-    planner: (u64, Time),
+    /// The fencing token of the planner that this daemon follows, and since when.
+    followed_planner: (u64, Time),
 }
 
-impl Told {
-    /// Returns the number of the next demand or news.
-    pub(super) fn next_beat(&mut self) -> u32 {
-        self.beat += 1;
-        self.beat
+impl Published {
+    /// Returns the sequence number of the next demand or update.
+    pub(super) fn next_seq(&mut self) -> u32 {
+        self.seq += 1;
+        self.seq
     }
 
-    /// Tells whether the planner with `fence` is told for the first few times.
+    /// Returns whether the planner with `fence` is new to this daemon, and records it.
     pub(super) fn is_planner_new(&mut self, fence: u64, now: Time) -> bool {
-        if self.planner.0 != fence {
-            self.planner = (fence, now);
+        if self.followed_planner.0 != fence {
+            self.followed_planner = (fence, now);
         }
-        now.since(self.planner.1) < PLANNER_NEW
+        now.since(self.followed_planner.1) < NEW_PLANNER_WINDOW
     }
 
-    /// Takes in that this daemon is not the planner: nothing waits to be told.
-    pub(super) fn end(&mut self) {
+    /// Records that this daemon is not the planner, so that no changes wait to be published.
+    pub(super) fn stop(&mut self) {
         self.was_planner = false;
         self.is_pending = false;
     }
 
-    /// Returns how long to wait until something new may be told; a long time if nothing waits.
-    pub(super) fn left(&self, now: Time) -> Duration {
+    /// Returns how long until waiting changes may be published, or `Duration::MAX` if none wait.
+    pub(super) fn publish_delay(&self, now: Time) -> Duration {
         if self.is_pending { self.links_busy_until.since(now) } else { Duration::MAX }
     }
 
-    /// Returns what is told of loads and of models that come, and keeps it as told.
-    fn choose(
+    /// Returns the loads and pending loads to publish, and records them as published.
+    fn select_entries(
         &mut self,
         extent: Extent,
         loads: Vec<TargetLoad>,
@@ -103,154 +106,165 @@
         match extent {
             Extent::All => {
                 self.loads = loads.iter().map(|l| (l.target.clone(), l.requests)).collect();
-                self.coming = coming.iter().map(|c| (c.key(), c.due(now))).collect();
+                self.pending_loads = coming.iter().map(|c| (c.key(), c.due(now))).collect();
                 (loads, coming)
             }
-            Extent::Changes => (self.new_loads(loads), self.new_coming(coming, now)),
+            Extent::Changes => (self.changed_loads(loads), self.changed_pending_loads(coming, now)),
         }
     }
 
-    /// Returns the loads that have changed most since they were told, those of targets that have
-    /// no requests any more with them.
-    fn new_loads(&mut self, loads: Vec<TargetLoad>) -> Vec<TargetLoad> {
-        let mut now: HashMap<TargetName, u16> = HashMap::with_capacity(loads.len());
-        now.extend(loads.into_iter().map(|load| (load.target, load.requests)));
-        let gone = self.loads.keys().filter(|target| !now.contains_key(*target));
+    /// Returns the loads that have changed most since they were published, including those of
+    /// targets that have no requests any more.
+    fn changed_loads(&mut self, loads: Vec<TargetLoad>) -> Vec<TargetLoad> {
+        let mut current: HashMap<TargetName, u16> = HashMap::with_capacity(loads.len());
+        current.extend(loads.into_iter().map(|load| (load.target, load.requests)));
+        let gone = self.loads.keys().filter(|target| !current.contains_key(*target));
         let gone: Vec<TargetName> = gone.cloned().collect();
-        now.extend(gone.into_iter().map(|target| (target, 0)));
+        current.extend(gone.into_iter().map(|target| (target, 0)));
         let differs = |(target, requests): (TargetName, u16)| {
-            let told = self.loads.get(&target).copied().unwrap_or(0);
-            (told.abs_diff(requests), TargetLoad { target, requests })
+            let published = self.loads.get(&target).copied().unwrap_or(0);
+            (published.abs_diff(requests), TargetLoad { target, requests })
         };
-        let mut news: Vec<(u16, TargetLoad)> = now.into_iter().map(differs).collect();
-        news.retain(|(difference, load)| {
-            *difference >= LOAD_STEP || (load.requests == 0 && *difference > 0)
+        let mut changed: Vec<(u16, TargetLoad)> = current.into_iter().map(differs).collect();
+        changed.retain(|(difference, load)| {
+            *difference >= MIN_LOAD_CHANGE || (load.requests == 0 && *difference > 0)
         });
-        news.sort_by_key(|(difference, _)| std::cmp::Reverse(*difference));
-        news.truncate(LOADS_BETWEEN);
-        let news: Vec<TargetLoad> = news.into_iter().map(|(_, load)| load).collect();
-        self.loads.extend(news.iter().map(|load| (load.target.clone(), load.requests)));
-        news
+        changed.sort_by_key(|(difference, _)| std::cmp::Reverse(*difference));
+        changed.truncate(MAX_CHANGED_LOADS);
+        let changed: Vec<TargetLoad> = changed.into_iter().map(|(_, load)| load).collect();
+        self.loads.extend(changed.iter().map(|load| (load.target.clone(), load.requests)));
+        changed
     }
 
-    /// Returns the models that come for which nothing or another time has been told.
-    fn new_coming(&mut self, coming: Vec<Coming>, now: Time) -> Vec<Coming> {
-        let is_news = |c: &Coming| {
+    /// Returns the pending loads that were not published yet, or with another due time.
+    fn changed_pending_loads(&mut self, coming: Vec<Coming>, now: Time) -> Vec<Coming> {
+        let is_changed = |c: &Coming| {
             let at = c.due(now);
-            let told = self.coming.get(&c.key());
-            told.is_none_or(|told| at.since(*told).max(told.since(at)) >= SAME_TIME)
+            let published = self.pending_loads.get(&c.key());
+            published.is_none_or(|published| {
+                at.since(*published).max(published.since(at)) >= DUE_TIME_TOLERANCE
+            })
         };
-        let news: Vec<Coming> = coming.into_iter().filter(is_news).collect();
-        self.coming.extend(news.iter().map(|c| (c.key(), c.due(now))));
-        news
+        let changed: Vec<Coming> = coming.into_iter().filter(is_changed).collect();
+        self.pending_loads.extend(changed.iter().map(|c| (c.key(), c.due(now))));
+        changed
     }
 }
 
 impl Conductor {
-    /// Begins to tell the daemons that are known from the planner before.
-    pub(super) fn begin_telling(&self, now: Time) {
-        let known: Vec<PeerEntry> = self.state.peers().all(now).cloned().collect();
-        let others = known.into_iter().filter(|p| p.address != self.me.address).collect();
-        let since = self.state.fleet().log.number_before(now.before(UNTOLD_SPAN));
-        let mut told = self.told();
-        told.notes.clear();
-        told.versions = (since, 0);
-        told.audience.begin(others, now);
+    /// Starts publishing to the daemons that the previous planner announced.
+    pub(super) fn start_publishing(&self, now: Time) {
+        let announced: Vec<PeerEntry> = self.state.peers().all(now).cloned().collect();
+        let others = announced.into_iter().filter(|p| p.address != self.me.address).collect();
+        let since = self.state.fleet().log.number_before(now.before(UNPUBLISHED_WINDOW));
+        let mut published = self.published();
+        published.override_revisions.clear();
+        published.versions = (since, 0);
+        published.audience.begin(others, now);
     }
 
-    /// Tells all daemons what is new, on a beat with all loads, and those that lack something
-    /// what they lack.
-    pub(super) fn send_news(&self, occasion: Occasion, now: Time) {
-        self.log_notes(now);
+    /// Publishes changes to all daemons, with all loads in a heartbeat, and sends repairs to
+    /// daemons that lack earlier changes.
+    pub(super) fn publish(&self, occasion: Occasion, now: Time) {
+        self.log_overrides(now);
         if self.is_due(occasion, now) {
-            self.tell_all(occasion, now);
+            self.publish_to_all(occasion, now);
         }
-        let repairs = self.told().audience.repairs(self.lease.fence(), now);
+        let repairs = self.published().audience.repairs(self.lease.fence(), now);
         for repair in repairs {
-            self.repair(repair, now);
+            self.send_repair(repair, now);
         }
     }
 
-    /// Numbers what this daemon has done to targets since it was told last.
-    fn log_notes(&self, now: Time) {
+    /// Adds overrides of targets that are new since the last update to the change log.
+    fn log_overrides(&self, now: Time) {
         let mut fleet = self.state.fleet();
-        let notes = fleet.notes();
-        let mut told = self.told();
-        for note in notes {
-            let before = told.notes.insert(note.target.clone(), note.revision);
-            if before != Some(note.revision) {
-                // It holds whatever the list says, and a daemon that joins can do without it.
-                fleet.log.add(Change::Note(note), 0, now);
+        let overrides = fleet.notes();
+        let mut published = self.published();
+        for target_override in overrides {
+            let before = published
+                .override_revisions
+                .insert(target_override.target.clone(), target_override.revision);
+            if before != Some(target_override.revision) {
+                // Version 0: an override holds at any version of the list, and a daemon that joins
+                // does not need it.
+                fleet.log.add(Change::Note(target_override), 0, now);
             }
         }
     }
 
-    /// Tells whether there is something to tell now. Something new waits while links have had
-    /// their share; a beat does not.
+    /// Returns whether an update is due. Changes wait while links have used up their share; a
+    /// heartbeat does not.
     fn is_due(&self, occasion: Occasion, now: Time) -> bool {
-        let newest = self.newest();
-        let mut told = self.told();
+        let latest = self.latest_versions();
+        let mut published = self.published();
         if occasion == Occasion::Beat {
             return true;
         }
-        told.is_pending = told.versions != newest;
-        told.is_pending && now >= told.links_busy_until
+        published.is_pending = published.versions != latest;
+        published.is_pending && now >= published.links_busy_until
     }
 
-    /// Returns the number of the last change, and the version of the configuration.
-    fn newest(&self) -> (u64, u64) {
+    /// Returns the number of the last change and the version of the configuration in force.
+    fn latest_versions(&self) -> (u64, u64) {
         let list = self.state.fleet().log.last();
         (list, self.state.catalog().map_or(0, |c| c.version))
     }
 
-    fn tell_all(&self, occasion: Occasion, now: Time) {
-        let newest = self.newest();
+    /// Publishes one update to all daemons.
+    fn publish_to_all(&self, occasion: Occasion, now: Time) {
+        let latest = self.latest_versions();
         let (after, beat, peers, count) = {
-            let mut told = self.told();
-            let (after, _) = std::mem::replace(&mut told.versions, newest);
-            told.is_pending = false;
-            let peers = if occasion == Occasion::Beat { self.beat(&mut told, now) } else { vec![] };
-            (after, told.next_beat(), peers, told.audience.len())
+            let mut published = self.published();
+            let (after, _) = std::mem::replace(&mut published.versions, latest);
+            published.is_pending = false;
+            let peers = if occasion == Occasion::Beat {
+                self.begin_heartbeat(&mut published, now)
+            } else {
+                vec![]
+            };
+            (after, published.next_seq(), peers, published.audience.len())
         };
         let (daemons, loads, coming) = {
             let planner = self.planner();
             (planner.daemons(), planner.loads(), planner.coming(now))
         };
-        let whole = Whole { fence: self.lease.fence(), beat };
+        let update_id = Whole { fence: self.lease.fence(), beat };
         {
             let mut fleet = self.state.fleet();
             fleet.set_daemons(daemons);
-            fleet.note_loads(whole, &loads, &coming, now);
+            fleet.note_loads(update_id, &loads, &coming, now);
         }
         let extent = extent(occasion, loads.len() * count);
-        let (loads, coming) = self.told().choose(extent, loads, coming, now);
+        let (loads, coming) = self.published().select_entries(extent, loads, coming, now);
         let list = self.changes_between(after, u64::MAX, now);
         let signals = self.state.fleet().known_signals(now);
-        let mut news = News { extent, peers, coming, loads, signals, ..self.news(beat, list, now) };
-        news.trim();
-        let parts = datagram::datagrams(Message::News(news));
-        let groups = self.told().audience.groups().to_vec();
-        let busy = groups.iter().map(|group| self.send_to_group(&parts, group, beat)).max();
+        let mut update =
+            News { extent, peers, coming, loads, signals, ..self.new_update(beat, list, now) };
+        update.trim();
+        let parts = datagram::datagrams(Message::News(update));
+        let groups = self.published().audience.groups().to_vec();
+        let relay_busy = groups.iter().map(|group| self.send_to_group(&parts, group, beat)).max();
         let bytes: usize = parts.iter().map(Vec::len).sum();
-        let own = pace::span_on_link(bytes * groups.len(), self.me.link_mbps);
-        self.told().links_busy_until = now + own.max(busy.unwrap_or_default());
+        let own_busy = pace::link_time(bytes * groups.len(), self.me.link_mbps);
+        self.published().links_busy_until = now + own_busy.max(relay_busy.unwrap_or_default());
     }
 
-    /// Begins a beat; returns the daemons that it tells of.
-    fn beat(&self, told: &mut Told, now: Time) -> Vec<PeerEntry> {
-        told.beats += 1;
-        told.audience.regroup(now);
-        let mut entries = told.audience.entries();
+    /// Begins a heartbeat; returns the daemons that it announces.
+    fn begin_heartbeat(&self, published: &mut Published, now: Time) -> Vec<PeerEntry> {
+        published.heartbeats += 1;
+        published.audience.regroup(now);
+        let mut entries = published.audience.entries();
         let (address, zone) = (self.me.address, self.me.zone.clone());
         entries.push(PeerEntry { address, zone, link_mbps: self.me.link_mbps });
-        let mut known = self.state.peers();
-        entries.iter().for_each(|entry| known.add(entry.clone(), now));
-        known.forget(now);
-        peers::slice(&entries, told.beats)
+        let mut announced = self.state.peers();
+        entries.iter().for_each(|entry| announced.add(entry.clone(), now));
+        announced.forget(now);
+        peers::slice(&entries, published.heartbeats)
     }
 
-    /// Returns news that say how fresh this daemon's views are, and nothing of loads.
-    fn news(&self, beat: u32, list: ListNews, now: Time) -> News {
+    /// Creates an update with `list` and the age of this daemon's views, and without loads.
+    fn new_update(&self, beat: u32, list: ListNews, now: Time) -> News {
         let contacts = *self.state.contacts();
         let renewed = self.lease.renewed();
         let daemons = self.planner().daemons();
@@ -274,20 +288,20 @@
         }
     }
 
-    /// Returns the changes after number `after`, up to `to`.
+    /// Returns the changes after number `after`, up to and including `to`.
     fn changes_between(&self, after: u64, to: u64, now: Time) -> ListNews {
         let mut fleet = self.state.fleet();
         let read = fleet.told(now);
         fleet.log.news_between(after, to, read, now)
     }
 
-    /// Sends `parts` to the relay of a group, with those that they are for; returns how long the
-    /// relay's link is taken by them.
-    fn send_to_group(&self, parts: &[Vec<u8>], group: &Group, beat: u32) -> Duration {
+    /// Sends `parts` to the relay of a group with the addresses of its followers; returns how long
+    /// relaying them occupies the relay's link.
+    fn send_to_group(&self, parts: &[Vec<u8>], group: &Group, seq: u32) -> Duration {
         let mut followers = group.followers.clone();
-        // A link that is full drops what is sent last; that is another one each time.
-        let turn = beat as usize % followers.len().max(1);
-        followers.rotate_left(turn);
+        // A saturated link drops the last datagrams, so another follower is last each time.
+        let rotation = seq as usize % followers.len().max(1);
+        followers.rotate_left(rotation);
         for part in parts {
             if group.followers.is_empty() {
                 self.send_bytes(part, group.relay);
@@ -296,15 +310,15 @@
             let forward = Forward { to: followers.clone(), datagram: part.clone() };
             match datagram::encode(&Message::Forward(forward)) {
                 Some(bytes) => self.send_bytes(&bytes, group.relay),
-                None => log::warn!("news to a relay are longer than a datagram"),
+                None => log::warn!("an update for a relay does not fit into a datagram"),
             }
         }
         let bytes: usize = parts.iter().map(Vec::len).sum();
-        pace::span_on_link(bytes * group.followers.len(), group.link_mbps)
+        pace::link_time(bytes * group.followers.len(), group.link_mbps)
     }
 
-    /// Tells one daemon what it lacks.
-    fn repair(&self, repair: Repair, now: Time) {
+    /// Sends one daemon the changes that it lacks.
+    fn send_repair(&self, repair: Repair, now: Time) {
         let fence = self.lease.fence();
         let (after, to) = {
             let fleet = self.state.fleet();
@@ -314,12 +328,12 @@
                 None => (fleet.log.known_at(repair.known.version).unwrap_or(last), last),
             }
         };
-        let beat = self.told().beat;
+        let seq = self.published().seq;
         let list = self.changes_between(after, to, now);
-        self.send_parts(Message::News(self.news(beat, list, now)), &[repair.to]);
+        self.send_parts(Message::News(self.new_update(seq, list, now)), &[repair.to]);
     }
 
-    /// Sends a message, in as many datagrams as it takes, to each of `to`.
+    /// Sends a message to each address of `to`, in as many datagrams as needed.
     pub(super) fn send_parts(&self, message: Message, to: &[SocketAddr]) {
         let parts = datagram::datagrams(message);
         for to in to {
@@ -327,25 +341,26 @@
         }
     }
 
-    /// Sends a datagram to another daemon.
+    /// Sends one datagram to another daemon.
     pub(super) fn send_bytes(&self, bytes: &[u8], to: SocketAddr) {
-        self.account().sent.add(bytes.len());
-        self.count(metric::PEER_BYTES_OUT, bytes.len());
+        self.stats().sent.add(bytes.len());
+        self.count_metric(metric::PEER_BYTES_OUT, bytes.len());
         if let Err(e) = self.peers.send(bytes, to) {
-            log::debug!("a datagram to {to} was not sent: {e}");
+            log::debug!("could not send a datagram to {to}: {e}");
         }
     }
 }
 
-/// Returns what is told of loads that make `entries` for all daemons together.
+/// Returns the extent of the loads in an update, where all loads make `entries` entries, summed
+/// over all daemons.
 fn extent(occasion: Occasion, entries: usize) -> Extent {
     match occasion {
-        Occasion::Change if entries > ENTRIES_ANYWAY => Extent::Changes,
+        Occasion::Change if entries > MAX_FULL_LOAD_ENTRIES => Extent::Changes,
         _ => Extent::All,
     }
 }
 
-/// Returns how long ago `at` was; without one, longer than anything counts.
+/// Returns how long ago `at` was, or `Duration::MAX` if it is `None`.
 fn age(at: Option<Time>, now: Time) -> Duration {
     at.map_or(Duration::MAX, |at| now.since(at))
 }
--- a/crates/tansyknot-fleet/src/dissemination/pace.rs
+++ b/crates/tansyknot-fleet/src/dissemination/pace.rs
@@ -1,66 +1,66 @@
-//! When a daemon speaks: on a beat, and between two beats when something has changed.
+//! When a daemon sends messages: at each heartbeat, and between heartbeats after changes.
 
 use std::time::Duration;
 
 use tansyknot_core::clock::Time;
 
-/// How often demand and news are sent when nothing has changed.
+/// How often demand and updates are sent when nothing has changed.
 pub const BEAT: Duration = Duration::from_millis(300);
-/// The least pause after a step, so that changes which come together are told together.
-const PAUSE_LEAST: Duration = Duration::from_millis(15);
-/// The pause after a step against the time that it took: a planner of hundreds of daemons and
-/// targets leaves most of its processor to orders and to what it receives.
-const PAUSE_SHARE: u32 = 3;
-/// The share of a link that news take at most; orders, and what callers get, have the rest.
-const LINK_SHARE: f64 = 0.2;
+/// Minimum pause after a step, so that changes which occur together are sent together.
+const MIN_STEP_PAUSE: Duration = Duration::from_millis(15);
+/// Ratio of the pause after a step to the step's duration: a planner of hundreds of daemons and
+/// targets thus leaves most of its processor time to orders and received messages.
+const STEP_PAUSE_FACTOR: u32 = 3;
+/// Maximum share of a link's rate for updates; the rest is for orders and responses to callers.
+const MAX_LINK_SHARE: f64 = 0.2;
 
-/// Returns how long to pause after a step that took `span`.
-pub fn pause_after(span: Duration) -> Duration {
-    span.saturating_mul(PAUSE_SHARE).clamp(PAUSE_LEAST, BEAT / 2)
+/// Returns how long to pause after a step that took `duration`.
+pub fn pause_after(duration: Duration) -> Duration {
+    duration.saturating_mul(STEP_PAUSE_FACTOR).clamp(MIN_STEP_PAUSE, BEAT / 2)
 }
 
-/// Returns the time for which `bytes` take their share of a link, whose rate may be unknown.
-pub fn span_on_link(bytes: usize, link_mbps: Option<u32>) -> Duration {
+/// Returns how long `bytes` use up the updates' share of a link; zero if its rate is unknown.
+pub fn link_time(bytes: usize, link_mbps: Option<u32>) -> Duration {
     let Some(mbps) = link_mbps.filter(|mbps| *mbps > 0) else { return Duration::ZERO };
-    Duration::from_secs_f64(bytes as f64 * 8.0 / (f64::from(mbps) * 1e6 * LINK_SHARE))
+    Duration::from_secs_f64(bytes as f64 * 8.0 / (f64::from(mbps) * 1e6 * MAX_LINK_SHARE))
 }
 
-/// Why a daemon speaks now.
+/// Why a daemon runs a step and sends messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occasion {
-    /// The beat: what may have been lost is told again.
+    /// A heartbeat: state that may have been lost is sent again.
     Beat,
-    /// Something has changed since: only that is told.
+    /// Something has changed: only changes are sent.
     Change,
 }
 
-/// The beat of one daemon. Changes between two beats don't put the next one off: what was lost is
-/// repeated by beats alone, and a planner without beats is taken for silent.
+/// The heartbeat schedule of one daemon. Changes between two heartbeats do not delay the next one:
+/// only heartbeats repeat lost state, and a planner without heartbeats is considered unresponsive.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    beat: Time,
+    last_heartbeat: Time,
 }
 
 impl Pace {
-    /// Begins with a beat at `now`.
+    /// Starts a schedule as if a heartbeat had been sent at `now`.
     pub fn new(now: Time) -> Self {
-        Self { beat: now }
+        Self { last_heartbeat: now }
     }
 
-    /// Returns how long a change may be waited for.
+    /// Returns how long to wait for a change before the next heartbeat.
     pub fn left(&self, now: Time) -> Duration {
-        BEAT.saturating_sub(now.since(self.beat)).max(PAUSE_LEAST)
+        BEAT.saturating_sub(now.since(self.last_heartbeat)).max(MIN_STEP_PAUSE)
     }
 
-    /// Returns how long ago the next beat should have begun.
+    /// Returns how long the next heartbeat is overdue.
     pub fn late(&self, now: Time) -> Duration {
-        now.since(self.beat).saturating_sub(BEAT)
+        now.since(self.last_heartbeat).saturating_sub(BEAT)
     }
 
-    /// Returns why to speak now, if there is a reason.
+    /// Returns the reason to run a step now, if there is one.
     pub fn occasion(&mut self, has_changed: bool, now: Time) -> Option<Occasion> {
-        if now.since(self.beat) >= BEAT {
-            self.beat = now;
+        if now.since(self.last_heartbeat) >= BEAT {
+            self.last_heartbeat = now;
             return Some(Occasion::Beat);
         }
         has_changed.then_some(Occasion::Change)
