--- a/crates/tansyknot-control/src/config.rs
+++ b/crates/tansyknot-control/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in the table: rows, accepting a change, and following the versions.
+//! The configuration in the table service: its rows, accepting a change and following versions.
 
 use std::{collections::HashMap, sync::RwLock};
 
@@ -19,19 +19,19 @@
 pub const HEAD_KEY: &str = "config/head";
 /// The key prefix of [`Change`]s.
 pub const CHANGE_PREFIX: &str = "config/change/";
-/// The key prefix of objects.
+/// The key prefix of [`Stored`] objects.
 pub const OBJECT_PREFIX: &str = "config/object/";
 
-/// Changes of objects in one version.
+/// The most object changes in one version.
 pub const MAX_OPS: usize = 500;
-/// Versions kept for daemons that follow and for `history`; older ones are deleted.
-pub const KEPT_CHANGES: u64 = 20_000;
-/// A daemon that is further behind reads every object instead of the changes.
-const MAX_REPLAY: u64 = 400;
-/// Rows read at once.
-const PAGE: usize = 500;
-
-/// The newest version and the digest of every object.
+/// Versions retained for daemons that replay changes and for `history`; older ones are deleted.
+pub const RETAINED_CHANGES: u64 = 20_000;
+/// The most versions that a daemon replays; further behind, it reads every object instead.
+const MAX_REPLAYED_VERSIONS: u64 = 400;
+/// Rows read in one scan call.
+const SCAN_PAGE_ROWS: usize = 500;
+
+/// The newest version and the digest of its objects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The newest version.
@@ -47,35 +47,35 @@
 pub struct Change {
     /// The version.
     pub version: ConfigVersion,
-    /// Who made it.
+    /// The operator who made the change.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch by the author's clock.
+    /// When the change was made, in milliseconds since the Unix epoch by the author's clock.
     pub at_ms: u64,
-    /// What changed.
+    /// The changes of objects.
     pub ops: Vec<Op>,
 }
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum ApplyError {
-    /// Another operator's change came first.
+    /// Another operator's change was accepted first.
     #[error("version {won} was accepted meanwhile; nothing of this change is in force")]
     Lost {
-        /// The version that won.
+        /// The version that was accepted instead.
         won: ConfigVersion,
     },
-    /// The document has more changes than one version takes.
+    /// The document has more changes than one version may have.
     #[error("{count} changes are more than the {MAX_OPS} of one version; split the document")]
     TooMany {
         /// The number of changes.
         count: usize,
     },
-    /// The table service failed. If the result is unknown, `history` tells it later.
+    /// The table service failed. If the result is unknown, `history` shows it later.
     #[error(transparent)]
     Table(#[from] Error),
 }
 
-/// Returns the key of the change that made `version`; keys sort as versions do.
+/// Returns the key of the change that made `version`; keys sort in the order of versions.
 pub fn change_key(version: ConfigVersion) -> String {
     format!("{CHANGE_PREFIX}{version:012}")
 }
@@ -110,7 +110,7 @@
     Ok(objects)
 }
 
-/// Reads accepted versions above `after`, oldest first, at most `limit`.
+/// Reads at most `limit` accepted versions above `after`, oldest first.
 ///
 /// # Errors
 ///
@@ -119,19 +119,19 @@
     table.scan(CHANGE_PREFIX, &change_key(after), limit)?.iter().map(row::decode).collect()
 }
 
-/// Who changes the configuration, and when.
+/// The operator who changes the configuration and the time of the change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Author {
-    /// The operator's name for the history.
+    /// The operator's name, as shown in the history.
     pub name: String,
     /// The time in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// Makes `ops` the next version after `base` and returns it.
+/// Commits `ops` as the next version after `base` and returns that version.
 ///
-/// The version is accepted when this returns: the compare-and-swap took effect, also if its
-/// reply was lost and the row was read back.
+/// The version is accepted when this returns `Ok`: the compare-and-swap took effect, even if its
+/// reply was lost and the row had to be read back.
 ///
 /// # Errors
 ///
@@ -192,7 +192,7 @@
                     row::encode(&Stored { version, object: object.clone() }),
                 )
             }
-            // Deleting what is not there changes nothing but is still a condition.
+            // Deleting a missing object writes nothing, but its absence is still a condition.
             Op::Delete(_) if row_version == ABSENT => txn.check(row_key, ABSENT),
             Op::Delete(_) => txn.delete(row_key, row_version),
         };
@@ -200,62 +200,64 @@
     let change =
         Change { version, author: author.name.clone(), at_ms: author.at_ms, ops: ops.to_vec() };
     txn = txn.set(change_key(version), Some(row::encode(&change)));
-    if let Some(old) = version.checked_sub(KEPT_CHANGES) {
+    if let Some(old) = version.checked_sub(RETAINED_CHANGES) {
         txn = txn.set(change_key(old), None);
     }
     let head = Head { version, digest, token: token.to_owned() };
     Ok(txn.put(HEAD_KEY, head_row, row::encode(&head)))
 }
 
-/// Returns the changes that turn `current` into `wanted`; objects not in `wanted` stay.
+/// Returns the puts that bring `current` to `wanted`; objects not in `wanted` are not deleted.
 pub fn difference(current: &[Stored], wanted: &[Object]) -> Vec<Op> {
     let same = |object: &Object| current.iter().any(|stored| stored.object == *object);
     wanted.iter().filter(|object| !same(object)).cloned().map(Op::Put).collect()
 }
 
-/// The configuration that this daemon has in force, and how it follows the table.
+/// The configuration in force at this daemon, which follows the table.
 #[derive(Debug, Default)]
 pub struct ConfigView {
     store: RwLock<Store>,
     head_row: RwLock<RowVersion>,
 }
 
-/// What a round of following did.
+/// The outcome of [`ConfigView::follow`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Followed {
-    /// Nothing was new.
+    /// The table has no newer version.
     Unchanged,
     /// A newer version is in force.
     Raised(ConfigVersion),
-    /// The table answered with an older version, which was ignored.
+    /// The table returned an older version, which was ignored.
     OlderIgnored(ConfigVersion),
-    /// The rows read do not belong together, as stale reads can make it; the next round retries.
+    /// The rows read do not match the head's digest, for instance after stale reads; the next call
+    /// retries.
     Inconsistent,
 }
 
 impl ConfigView {
-    /// Runs `f` on the configuration in force.
+    /// Calls `f` with the configuration in force.
     pub fn with<T>(&self, f: impl FnOnce(&Store) -> T) -> T {
         f(&self.store.read().expect("no holder of the lock panics"))
     }
 
-    /// Returns the version in force; zero before the first.
+    /// Returns the version in force, or zero before the first.
     pub fn version(&self) -> ConfigVersion {
         self.with(Store::version)
     }
 
     /// Returns the row version of the head that the configuration in force was read with.
     ///
-    /// A transaction that checks it takes effect only if no newer version has been accepted.
+    /// A transaction that checks this row version takes effect only if no newer configuration
+    /// version has been accepted.
     pub fn head_row(&self) -> RowVersion {
         *self.head_row.read().expect("no holder of the lock panics")
     }
 
-    /// Reads the head and brings in force what is new.
+    /// Reads the head and puts a newer version in force.
     ///
     /// # Errors
     ///
-    /// Fails if the table does; the configuration in force stays.
+    /// Fails if the table does; the configuration in force then stays.
     pub fn follow(&self, table: &dyn Table) -> Result<Followed> {
         let (head, head_row) = read_head(table)?;
         let current = self.version();
@@ -271,17 +273,19 @@
             self.set_head_row(head_row);
             return Ok(Followed::Unchanged);
         }
-        let replay = current > 0 && head.version > current && head.version - current <= MAX_REPLAY;
-        if replay && self.has_replayed(table, &head) {
-            return Ok(self.raised(&head, head_row));
+        let replay = current > 0
+            && head.version > current
+            && head.version - current <= MAX_REPLAYED_VERSIONS;
+        if replay && self.try_replay(table, &head) {
+            return Ok(self.record_applied(&head, head_row));
         }
         if self.reload(table, &head)? {
-            return Ok(self.raised(&head, head_row));
+            return Ok(self.record_applied(&head, head_row));
         }
         Ok(Followed::Inconsistent)
     }
 
-    fn raised(&self, head: &Head, head_row: RowVersion) -> Followed {
+    fn record_applied(&self, head: &Head, head_row: RowVersion) -> Followed {
         self.set_head_row(head_row);
         event::CONFIG_APPLIED.emit(&[("version", &head.version)]);
         Followed::Raised(head.version)
@@ -291,18 +295,19 @@
         *self.head_row.write().expect("no holder of the lock panics") = version;
     }
 
-    /// Applies the changes up to `head`; tells whether that is done.
+    /// Applies the changes up to `head` and returns whether that succeeded.
     ///
-    /// The changes are one answer, as long as the daemon was away, and the time of a call does not
-    /// grow with it: a replay that fails must not be tried again in place of reading the objects.
-    fn has_replayed(&self, table: &dyn Table, head: &Head) -> bool {
+    /// All changes come in one reply, which grows with the time that the daemon was behind while
+    /// the timeout of a call is fixed. An error therefore returns `false`, so that the objects are
+    /// read instead of retrying the replay.
+    fn try_replay(&self, table: &dyn Table, head: &Head) -> bool {
         self.replay(table, head).unwrap_or_else(|e| {
             event::CONFIG_NOT_REPLAYED.emit(&[("version", &head.version), ("error", &e)]);
             false
         })
     }
 
-    /// Applies the changes up to `head`; tells whether the result has the head's digest.
+    /// Applies the changes up to `head`; returns whether the result has the head's digest.
     fn replay(&self, table: &dyn Table, head: &Head) -> Result<bool> {
         let current = self.version();
         let count = usize::try_from(head.version - current).unwrap_or(usize::MAX);
@@ -328,7 +333,7 @@
         Ok(true)
     }
 
-    /// Reads every object; tells whether the result has the head's digest.
+    /// Reads every object; returns whether the result has the head's digest.
     fn reload(&self, table: &dyn Table, head: &Head) -> Result<bool> {
         if self.version() > 0 {
             event::CONFIG_RELOADED.emit(&[("version", &head.version)]);
@@ -354,15 +359,18 @@
     }
 }
 
-/// Returns the digest that the configuration will have after `changes`, without making them: a
-/// wrong sum must never come in force, and a second copy would cost time and memory.
+/// Computes the digest of the configuration after `changes` without applying them.
+///
+/// A configuration with a wrong digest must never be in force, and applying the changes to a copy
+/// would cost time and memory.
 fn digest_after(store: &Store, changes: &[Change]) -> u64 {
     let mut digest = store.digest();
-    let mut touched: HashMap<String, Option<ConfigVersion>> = HashMap::new();
+    let mut changed_versions: HashMap<String, Option<ConfigVersion>> = HashMap::new();
     for change in changes {
         for op in &change.ops {
             let key = op.key();
-            let old = touched.get(&key).copied().unwrap_or_else(|| store.object_version(&key));
+            let old =
+                changed_versions.get(&key).copied().unwrap_or_else(|| store.object_version(&key));
             if old.is_some_and(|old| old >= change.version) {
                 continue;
             }
@@ -370,16 +378,17 @@
             for version in old.into_iter().chain(new) {
                 digest ^= store::object_digest(&key, version);
             }
-            touched.insert(key, new);
+            changed_versions.insert(key, new);
         }
     }
     digest
 }
 
-/// Asks the table itself whether a row version of the head is the newest.
+/// Returns whether a row version of the head is the newest, by a commit that checks it.
 ///
-/// A read may be stale, a commit's condition may not. A daemon that has just started knows no
-/// version yet, so that only this keeps it from accepting one older than it had before.
+/// A read may be stale, but a commit's condition may not. A daemon that has just started has no
+/// version to compare with, so only this check prevents it from accepting a version older than
+/// the one before its restart.
 fn is_newest(table: &dyn Table, head_row: RowVersion) -> Result<bool> {
     match table.commit(&Transaction::default().check(HEAD_KEY, head_row)) {
         Ok(()) => Ok(true),
@@ -388,7 +397,7 @@
     }
 }
 
-/// Reads all rows with a prefix, page by page.
+/// Calls `f` with each row that has a prefix, reading page by page.
 ///
 /// # Errors
 ///
@@ -400,8 +409,8 @@
 ) -> Result<()> {
     let mut after = String::new();
     loop {
-        let rows = table.scan(prefix, &after, PAGE)?;
-        let full = rows.len() == PAGE;
+        let rows = table.scan(prefix, &after, SCAN_PAGE_ROWS)?;
+        let full = rows.len() == SCAN_PAGE_ROWS;
         if let Some(last) = rows.last() {
             after.clone_from(&last.key);
         }
--- a/crates/tansyknot-control/src/directory.rs
+++ b/crates/tansyknot-control/src/directory.rs
@@ -1,4 +1,4 @@
-//! The replica rows as this daemon last read them.
+//! A local cache of the replica rows.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -6,8 +6,8 @@
 
 use crate::replicas::Versioned;
 
-/// A row in use is read again after this long even if nothing said that it changed.
-pub const REFRESH_AFTER: Duration = Duration::from_secs(30);
+/// The age at which a row in use is read again even if no message announced a change.
+pub const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -17,14 +17,18 @@
     stale: bool,
 }
 
-/// Replica rows by service. Versions only rise, whatever order reads come back in.
+/// Cached replica rows by service.
+///
+/// A cached version never decreases, in whatever order concurrent reads complete.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: Mutex<HashMap<ServiceName, Entry>>,
 }
 
 impl Directory {
-    /// Keeps a row that was read or written at `now`; tells whether it is new.
+    /// Stores a row that was read or written at `now` unless the cached one is newer.
+    ///
+    /// Returns whether its version is higher than the cached one.
     pub fn keep(
         &self,
         service: &ServiceName,
@@ -42,19 +46,20 @@
         newer
     }
 
-    /// Returns the row as last read.
+    /// Returns the cached row.
     pub fn row(&self, service: &ServiceName) -> Option<ReplicaRow> {
         let entries = self.entries.lock().expect("no holder of the lock panics");
         entries.get(service).map(|e| e.row.clone())
     }
 
-    /// Returns the row as last read with its version.
+    /// Returns the cached row with its version.
     pub fn versioned(&self, service: &ServiceName) -> Option<Versioned<ReplicaRow>> {
         let entries = self.entries.lock().expect("no holder of the lock panics");
         entries.get(service).map(|e| Versioned { version: e.version, row: e.row.clone() })
     }
 
-    /// Says that the row has changed, for instance since an engine refused as not loaded.
+    /// Marks the cached row as outdated, for instance after an engine refused a request as not
+    /// loaded.
     pub fn mark_stale(&self, service: &ServiceName) {
         let mut entries = self.entries.lock().expect("no holder of the lock panics");
         if let Some(entry) = entries.get_mut(service) {
@@ -62,13 +67,13 @@
         }
     }
 
-    /// Tells whether the row must be read before it is used.
+    /// Returns whether the row must be read again before it is used.
     pub fn needs_read(&self, service: &ServiceName, now: Time) -> bool {
         let entries = self.entries.lock().expect("no holder of the lock panics");
-        entries.get(service).is_none_or(|e| e.stale || now.since(e.read_at) >= REFRESH_AFTER)
+        entries.get(service).is_none_or(|e| e.stale || now.since(e.read_at) >= REFRESH_INTERVAL)
     }
 
-    /// Returns every service with a known row.
+    /// Returns every service with a cached row.
     pub fn services(&self) -> Vec<ServiceName> {
         let entries = self.entries.lock().expect("no holder of the lock panics");
         entries.keys().cloned().collect()
--- a/crates/tansyknot-control/src/hosts.rs
+++ b/crates/tansyknot-control/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of hosts as this daemon last read it.
+//! This daemon's copy of the platform's list of hosts.
 
 use std::{collections::BTreeMap, sync::RwLock};
 
@@ -12,77 +12,82 @@
 };
 
 #[derive(Debug, Default)]
-struct Known {
+struct ListState {
     targets: BTreeMap<TargetName, Target>,
-    /// When a target that had been there was first missing from the list.
+    /// When each target that was once listed was first missing from the list.
     missing_since: BTreeMap<TargetName, Time>,
-    read_once: bool,
+    has_been_read: bool,
 }
 
-/// The targets that the platform lists.
+/// The latest list of targets that was read from the platform.
 #[derive(Debug, Default)]
 pub struct HostView {
-    known: RwLock<Known>,
+    list_state: RwLock<ListState>,
 }
 
 impl HostView {
-    /// Reads the list; tells whether it is new. The last list stays in use if that fails.
+    /// Reads the list and returns whether it has changed. The last list stays in use on failure.
     ///
     /// # Errors
     ///
-    /// Fails if the platform does not answer.
+    /// Fails if the platform does not respond.
     pub fn refresh(&self, list: &dyn HostList, now: Time) -> Result<bool> {
         let Some(targets) = list.list()? else { return Ok(false) };
         let fresh: BTreeMap<TargetName, Target> =
             targets.into_iter().map(|t| (t.name.clone(), t)).collect();
-        let mut known = self.known.write().expect("no holder of the lock panics");
+        let mut list_state = self.list_state.write().expect("no holder of the lock panics");
         for (name, target) in &fresh {
-            let before = known.targets.get(name).map(|t| t.state);
-            if target.state == HostState::Leaving && before != Some(HostState::Leaving) {
+            let previous = list_state.targets.get(name).map(|t| t.state);
+            if target.state == HostState::Leaving && previous != Some(HostState::Leaving) {
                 event::TARGET_LEAVING.emit(&[("target", name)]);
             }
         }
-        let gone: Vec<TargetName> =
-            known.targets.keys().filter(|name| !fresh.contains_key(*name)).cloned().collect();
-        known.missing_since.retain(|name, _| !fresh.contains_key(name));
-        for name in gone {
-            known.missing_since.entry(name).or_insert(now);
+        let missing: Vec<TargetName> =
+            list_state.targets.keys().filter(|name| !fresh.contains_key(*name)).cloned().collect();
+        list_state.missing_since.retain(|name, _| !fresh.contains_key(name));
+        for name in missing {
+            list_state.missing_since.entry(name).or_insert(now);
         }
-        known.targets = fresh;
-        known.read_once = true;
+        list_state.targets = fresh;
+        list_state.has_been_read = true;
         Ok(true)
     }
 
-    /// Tells whether the list has been read since the start.
+    /// Returns whether the list has been read since the daemon started.
     pub fn is_known(&self) -> bool {
-        self.known.read().expect("no holder of the lock panics").read_once
+        self.list_state.read().expect("no holder of the lock panics").has_been_read
     }
 
     /// Returns a target by name.
     pub fn target(&self, name: &TargetName) -> Option<Target> {
-        self.known.read().expect("no holder of the lock panics").targets.get(name).cloned()
+        self.list_state.read().expect("no holder of the lock panics").targets.get(name).cloned()
     }
 
-    /// Returns since when a target has been missing from the list, if it once was there.
+    /// Returns when a target that was once listed was first missing from the list.
     pub fn missing_since(&self, name: &TargetName) -> Option<Time> {
-        self.known.read().expect("no holder of the lock panics").missing_since.get(name).copied()
+        self.list_state
+            .read()
+            .expect("no holder of the lock panics")
+            .missing_since
+            .get(name)
+            .copied()
     }
 
-    /// Returns a target only if it takes new work.
+    /// Returns a target if it is live, that is, accepts new work.
     pub fn live_target(&self, name: &TargetName) -> Option<Target> {
         self.target(name).filter(|t| t.state == HostState::Live)
     }
 
-    /// Returns the targets that `selector` chooses and that take new work.
+    /// Returns the live targets that match `selector`.
     pub fn select(&self, selector: &Selector) -> Vec<Target> {
-        let known = self.known.read().expect("no holder of the lock panics");
-        let live = known.targets.values().filter(|t| t.state == HostState::Live);
+        let list_state = self.list_state.read().expect("no holder of the lock panics");
+        let live = list_state.targets.values().filter(|t| t.state == HostState::Live);
         live.filter(|t| selector.matches(&t.labels)).cloned().collect()
     }
 
     /// Returns every target in the list.
     pub fn all(&self) -> Vec<Target> {
-        let known = self.known.read().expect("no holder of the lock panics");
-        known.targets.values().cloned().collect()
+        let list_state = self.list_state.read().expect("no holder of the lock panics");
+        list_state.targets.values().cloned().collect()
     }
 }
--- a/crates/tansyknot-control/src/idempotency.rs
+++ b/crates/tansyknot-control/src/idempotency.rs
@@ -1,4 +1,7 @@
-//! Idempotency keys: a row created by compare-and-swap before dispatch, at most one run.
+//! Idempotency keys.
+//!
+//! The row of a key is created by compare-and-swap before its request is sent, so that the request
+//! runs at most once.
 
 use serde::{Deserialize, Serialize};
 use tansyknot_core::{
@@ -9,55 +12,55 @@
 
 use crate::row;
 
-/// The key prefix of [`KeyRow`]s; a day's number follows.
+/// The key prefix of [`KeyRow`]s, followed by a day number.
 pub const KEY_PREFIX: &str = "key/";
-/// Answers up to this size are kept and given again.
+/// The longest response body that is stored and replayed.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 64 << 10;
-/// Rows are kept for this many whole days after the day they were made on.
-pub const KEPT_DAYS: u64 = 2;
+/// Whole days that a row is retained after the day of its creation.
+pub const KEY_RETENTION_DAYS: u64 = 2;
 
 const DAY_MS: u64 = 86_400_000;
 
-/// How far the request of a key is.
+/// The progress of a key's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyState {
-    /// It may have been sent to a target.
+    /// The request may have been sent to a target.
     Started,
-    /// It has run; the answer is kept unless it was too long.
+    /// The request has run; its response is stored unless it is too long, not text or a stream.
     Done(Option<KeptAnswer>),
 }
 
-/// An answer that is given again to a retry.
+/// A stored response that is replayed to retries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: String,
-    /// The body; answers that are not text are not kept.
+    /// The body; responses that are not text are not stored.
     pub body: String,
 }
 
 /// The row of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRow {
-    /// A hash of the request; the same key with another request is refused.
+    /// A hash of the request; another request with the same key is refused.
     pub request_hash: String,
-    /// The request that the key was first used for.
+    /// The first request with the key.
     pub request: RequestId,
-    /// The run of the daemon that took it.
+    /// The run of the daemon that received the first request.
     pub incarnation: Incarnation,
     /// The writer token.
     pub token: String,
-    /// How far it is.
+    /// The progress of the request.
     pub state: KeyState,
 }
 
-/// A first use of a key.
+/// A use of a key by a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyUse<'a> {
-    /// The caller; keys of different callers never meet.
+    /// The caller; keys of different callers are independent.
     pub caller: &'a CallerName,
     /// A hash of the key.
     pub key_hash: &'a str,
@@ -71,20 +74,20 @@
     pub at_ms: u64,
 }
 
-/// What is known of a key.
+/// The outcome of [`begin`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// It is new; the request may be sent once.
+    /// The key is new; the request may be sent once.
     Fresh(KeyHandle),
-    /// Its request has run; this was the answer, if it was kept.
+    /// The key's request has run; holds its response, if that is stored.
     Done(Option<KeptAnswer>),
-    /// Its request has been taken and has no recorded answer.
+    /// The key's request was started and has no recorded outcome.
     Started(RequestId),
-    /// It was used for another request.
+    /// The key was used for another request.
     Reused,
 }
 
-/// The row of a key that this process created.
+/// A handle to a key's row that this process created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyHandle {
     row_key: String,
@@ -95,15 +98,15 @@
     format!("{KEY_PREFIX}{day:06}/{}/{}", key.caller, key.key_hash)
 }
 
-/// Creates the row of a key, or tells what is known of it.
+/// Creates the row of a key, or returns the state of its existing row.
 ///
-/// The days around today must not have the key either, so that two daemons whose clocks stand on
-/// two sides of midnight can't both create it.
+/// The transaction also checks that neither the previous nor the next day has the key, so that
+/// two daemons whose clocks are on different sides of midnight can't both create it.
 ///
 /// # Errors
 ///
-/// Fails if the table does. If the result is unknown the request must not be sent; the row may
-/// be there, and later uses of the key then find it started.
+/// Fails if the table does. If the result is unknown, the request must not be sent: the row may
+/// exist, and later uses of the key then find it started.
 pub fn begin(table: &dyn Table, key: &KeyUse<'_>) -> Result<Begin> {
     let today = key.at_ms / DAY_MS;
     let row = KeyRow {
@@ -113,20 +116,20 @@
         token: name::random_id(),
         state: KeyState::Started,
     };
-    let mine = row_key(today, key);
+    let own_key = row_key(today, key);
     let txn = Transaction::default()
-        .put(mine.clone(), ABSENT, row::encode(&row))
+        .put(own_key.clone(), ABSENT, row::encode(&row))
         .check(row_key(today.saturating_sub(1), key), ABSENT)
         .check(row_key(today + 1, key), ABSENT);
-    let is_mine = |r: &Row| row::decode::<KeyRow>(r).is_ok_and(|r| r.token == row.token);
-    match table::commit_settled(table, &txn, &mine, is_mine) {
-        Ok(()) => Ok(Begin::Fresh(KeyHandle { row_key: mine, row })),
-        Err(Error::Conflict { .. }) => find(table, key, today),
+    let is_own = |r: &Row| row::decode::<KeyRow>(r).is_ok_and(|r| r.token == row.token);
+    match table::commit_settled(table, &txn, &own_key, is_own) {
+        Ok(()) => Ok(Begin::Fresh(KeyHandle { row_key: own_key, row })),
+        Err(Error::Conflict { .. }) => read_existing(table, key, today),
         Err(e) => Err(e),
     }
 }
 
-fn find(table: &dyn Table, key: &KeyUse<'_>, today: u64) -> Result<Begin> {
+fn read_existing(table: &dyn Table, key: &KeyUse<'_>, today: u64) -> Result<Begin> {
     for day in [today, today.saturating_sub(1), today + 1] {
         let Some(row) = table.read(&row_key(day, key))? else { continue };
         let row: KeyRow = row::decode(&row)?;
@@ -135,10 +138,10 @@
         }
         return Ok(match row.state {
             KeyState::Started => Begin::Started(row.request),
-            KeyState::Done(answer) => Begin::Done(answer),
+            KeyState::Done(response) => Begin::Done(response),
         });
     }
-    // A stale read, or the row was released in this moment: nothing may be concluded.
+    // The read was stale, or the row was released in between: the key's state is unknown.
     Err(Error::busy("table", "the row of the key changed while it was read"))
 }
 
@@ -146,7 +149,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the table does; the key then stays started, which is safe.
+/// Fails if the table does. The key then stays started, which is safe: a retry is not run.
 pub fn release(table: &dyn Table, handle: &KeyHandle) -> Result<()> {
     let Some(row) = table.read(&handle.row_key)? else { return Ok(()) };
     if row::decode::<KeyRow>(&row)?.token != handle.row.token {
@@ -159,24 +162,24 @@
 ///
 /// # Errors
 ///
-/// Fails if the table does; the key then stays started, and a retry is told that the outcome is
-/// unknown.
-pub fn finish(table: &dyn Table, handle: &KeyHandle, answer: Option<KeptAnswer>) -> Result<()> {
-    let kept = answer.filter(|a| a.body.len() <= MAX_KEPT_ANSWER_BYTES);
-    let row = KeyRow { state: KeyState::Done(kept), ..handle.row.clone() };
-    // Nobody else writes a started row, so the write needs no condition and can be repeated.
+/// Fails if the table does; the key then stays started, and a retry receives the error that the
+/// outcome is unknown.
+pub fn finish(table: &dyn Table, handle: &KeyHandle, response: Option<KeptAnswer>) -> Result<()> {
+    let stored = response.filter(|r| r.body.len() <= MAX_KEPT_ANSWER_BYTES);
+    let row = KeyRow { state: KeyState::Done(stored), ..handle.row.clone() };
+    // Only this process writes a started row, so the write needs no condition and is idempotent.
     let txn = Transaction::default().set(handle.row_key.clone(), Some(row::encode(&row)));
     table.commit(&txn).or_else(|_| table.commit(&txn))
 }
 
-/// Deletes up to `limit` rows that are past their days; returns how many.
+/// Deletes up to `limit` rows past their retention and returns the number deleted.
 ///
 /// # Errors
 ///
 /// Fails if the table does.
 pub fn sweep(table: &dyn Table, at_ms: u64, limit: usize) -> Result<usize> {
-    let first_kept = (at_ms / DAY_MS).saturating_sub(KEPT_DAYS);
-    let end = format!("{KEY_PREFIX}{first_kept:06}");
+    let first_retained = (at_ms / DAY_MS).saturating_sub(KEY_RETENTION_DAYS);
+    let end = format!("{KEY_PREFIX}{first_retained:06}");
     let rows = table.scan(KEY_PREFIX, "", limit)?;
     let mut txn = Transaction::default();
     for row in rows.iter().filter(|row| row.key < end) {
--- a/crates/tansyknot-control/src/lib.rs
+++ b/crates/tansyknot-control/src/lib.rs
@@ -1,4 +1,4 @@
-//! Configuration, replicas and idempotency keys kept through the table service.
+//! Configuration, replicas and idempotency keys, stored in the table service.
 
 pub mod claim;
 pub mod config;
--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -21,23 +21,23 @@
     routing::Routing,
 };
 
-/// What a waiting request is told.
+/// The signal that ends the wait of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// It may be sent to this target, where it is already counted.
+    /// The request may be sent to this target, where it is already counted as in flight.
     Granted(TargetName),
-    /// It is given up; this is its final answer.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// What becomes of a request that asks for a target.
+/// The outcome of [`Pools::acquire`].
 #[derive(Debug)]
 pub enum Acquired {
-    /// It may be sent to this target, where it is already counted.
+    /// The request may be sent to this target, where it is already counted as in flight.
     Granted(TargetName),
-    /// It waits for a signal.
+    /// The request waits for a signal.
     Queued(Ticket, Receiver<Signal>),
-    /// It can't be served in time.
+    /// The request can't be served before its deadline.
     Refused(Refusal),
 }
 
@@ -46,37 +46,37 @@
 pub struct Ask<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Its rank and deadline.
+    /// The request's rank and deadline.
     pub waiter: Waiter,
     /// A hash of the start of the prompt.
     pub prefix: Option<u64>,
-    /// Targets that have just failed this request.
+    /// Targets at which this request has just failed.
     pub avoid: &'a [TargetName],
 }
 
-/// The demand for a service as this daemon sees it.
+/// The demand of this daemon's requests for a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalDemand {
-    /// Requests that wait and that are being served.
+    /// The numbers of waiting requests and of requests in flight.
     pub waiting: Waiting,
     /// The running mean of service times.
     pub service_time: Duration,
-    /// How long a load took.
+    /// The duration of recent loads.
     pub load_time: Duration,
-    /// Whether a replica is open.
+    /// Whether the service has an open target.
     pub has_upstream: bool,
-    /// The last arrival.
+    /// When a request last arrived or ended.
     pub last_use: Option<Time>,
 }
 
 struct Entry {
     pool: Pool,
     signals: HashMap<Ticket, SyncSender<Signal>>,
-    published: bool,
+    upstreams_set: bool,
     last_use: Option<Time>,
 }
 
-/// Told of a service whose first request begins to wait.
+/// A callback for a service whose first request begins to wait.
 pub type OnWaiting = Box<dyn Fn(&ServiceName) + Send + Sync>;
 
 /// The pools of all services.
@@ -88,27 +88,27 @@
 }
 
 impl Pools {
-    /// Makes an empty set of pools.
+    /// Creates an empty set of pools.
     pub fn new(routing: Box<dyn Routing>, clock: Arc<dyn Clock>) -> Self {
         Self { on_waiting: OnceLock::new(), entries: Mutex::default(), routing, clock }
     }
 
-    /// Sets who is told, at once, of a service whose first request begins to wait.
+    /// Sets the callback that runs at once when the first request of a service begins to wait.
     pub fn set_on_waiting(&self, on_waiting: OnWaiting) {
-        // The daemon sets it once at the start; a second call would change nothing.
+        // The daemon sets it once at startup; a second call has no effect.
         let _ = self.on_waiting.set(on_waiting);
     }
 
-    /// Makes the pool of a service if there is none; tells whether its targets were ever set.
+    /// Creates the pool of a service if it has none; returns whether its targets were ever set.
     ///
-    /// A request must not be refused for want of targets that are only not yet set.
+    /// Until they are, a request must not be refused for lack of targets.
     pub fn prepare(&self, service: &ServiceName, options: &PoolOptions) -> bool {
         let entry = self.entry_or_insert(service, options);
         let entry = entry.lock().expect("no holder of the lock panics");
-        entry.published
+        entry.upstreams_set
     }
 
-    /// Asks for a target.
+    /// Requests a target; the request is granted one, queued or refused.
     pub fn acquire(&self, ask: &Ask<'_>, options: PoolOptions) -> Acquired {
         let entry = self.entry_or_insert(ask.service, &options);
         let mut entry = entry.lock().expect("no holder of the lock panics");
@@ -134,9 +134,9 @@
         }
     }
 
-    /// Takes a waiting request out, for instance since its caller has left.
+    /// Removes a waiting request, for instance because its caller has disconnected.
     ///
-    /// A grant that came in the same moment is given back.
+    /// A target that was granted concurrently is released.
     pub fn abandon(&self, service: &ServiceName, ticket: Ticket, rx: &Receiver<Signal>) {
         let Some(entry) = self.entry(service) else { return };
         let granted = {
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Waits up to `span` for a signal.
-    pub fn wait(&self, rx: &Receiver<Signal>, span: Duration) -> Option<Signal> {
-        match rx.recv_timeout(span) {
+    /// Waits up to `timeout` for a signal.
+    pub fn wait(&self, rx: &Receiver<Signal>, timeout: Duration) -> Option<Signal> {
+        match rx.recv_timeout(timeout) {
             Ok(signal) => Some(signal),
             Err(RecvTimeoutError::Timeout) => None,
             Err(RecvTimeoutError::Disconnected) => Some(Signal::Refused(Refusal::later(
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Ends a request that was granted; `took` is given for whole answers only.
+    /// Ends a granted request; `took` is its service time, set for complete responses only.
     pub fn release(&self, service: &ServiceName, target: &TargetName, took: Option<Duration>) {
         let Some(entry) = self.entry(service) else { return };
         let mut entry = entry.lock().expect("no holder of the lock panics");
@@ -172,7 +172,7 @@
         entry.signal(grants);
     }
 
-    /// Takes in what a target said of its load with an answer.
+    /// Records the requests in flight that a target reported with a response.
     pub fn report(&self, service: &ServiceName, target: &TargetName, in_flight: u32) {
         let now = self.clock.now();
         if let Some(entry) = self.entry(service) {
@@ -181,45 +181,45 @@
         }
     }
 
-    /// Closes a target for a service, until the next [`Pools::set_upstreams`] has it.
+    /// Closes a target for a service until a call of [`Pools::set_upstreams`] includes it again.
     pub fn close(&self, service: &ServiceName, target: &TargetName) {
         if let Some(entry) = self.entry(service) {
             entry.lock().expect("no holder of the lock panics").pool.close(target);
         }
     }
 
-    /// Tells whether a service has an open target that is not among `avoid`.
+    /// Returns whether a service has an open target that is not in `avoid`.
     pub fn has_upstream_besides(&self, service: &ServiceName, avoid: &[TargetName]) -> bool {
         let Some(entry) = self.entry(service) else { return false };
         let entry = entry.lock().expect("no holder of the lock panics");
         entry.pool.has_upstream_besides(avoid)
     }
 
-    /// Replaces the targets of a service and grants what waits for them.
+    /// Replaces the targets of a service and grants them to waiting requests.
     pub fn set_upstreams(&self, service: &ServiceName, upstreams: &[Upstream]) {
         let Some(entry) = self.entry(service) else { return };
         let mut entry = entry.lock().expect("no holder of the lock panics");
         let routing = self.routing.as_ref();
         let grants = entry.pool.set_upstreams(upstreams, routing, &mut rand::rng());
-        entry.published = true;
+        entry.upstreams_set = true;
         entry.signal(grants);
     }
 
-    /// Says when the first replica of a service is expected.
+    /// Sets when the first replica of a service is expected to be ready.
     pub fn expect_ready(&self, service: &ServiceName, at: Option<Time>) {
         if let Some(entry) = self.entry(service) {
             entry.lock().expect("no holder of the lock panics").pool.expect_ready(at);
         }
     }
 
-    /// Records how long a load of a service took.
+    /// Records the duration of a load of a service.
     pub fn record_load(&self, service: &ServiceName, took: Duration) {
         if let Some(entry) = self.entry(service) {
             entry.lock().expect("no holder of the lock panics").pool.record_load(took);
         }
     }
 
-    /// Gives up every waiting request of a service, at once.
+    /// Refuses every waiting request of a service.
     pub fn refuse_waiting(&self, service: &ServiceName, refusal: &Refusal) {
         let Some(entry) = self.entry(service) else { return };
         let mut entry = entry.lock().expect("no holder of the lock panics");
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Gives up every waiting request that can't be served before its deadline any more.
+    /// Refuses every waiting request that can no longer be served before its deadline.
     pub fn expire(&self) {
         let now = self.clock.now();
         for entry in self.all() {
@@ -287,7 +287,7 @@
             Arc::new(Mutex::new(Entry {
                 pool,
                 signals: HashMap::new(),
-                published: false,
+                upstreams_set: false,
                 last_use: None,
             }))
         });
@@ -299,8 +299,9 @@
     fn signal(&mut self, grants: Vec<Grant>) {
         for grant in grants {
             if let Some(tx) = self.signals.remove(&grant.ticket) {
-                // The channel holds one signal and gets one, so this neither blocks nor fails:
-                // the receiver is dropped only after `abandon` has removed the sender.
+                // The channel has capacity for one signal and receives only one, so this neither
+                // blocks nor fails: the receiver is dropped only after `abandon` has removed the
+                // sender.
                 let _ = tx.try_send(Signal::Granted(grant.target));
             }
         }
--- a/crates/tansyknot-control/src/row.rs
+++ b/crates/tansyknot-control/src/row.rs
@@ -1,4 +1,4 @@
-//! Values of rows as JSON documents.
+//! JSON encoding of row values.
 
 use serde::{Serialize, de::DeserializeOwned};
 use tansyknot_core::{Error, Result, table::Row};
@@ -7,17 +7,17 @@
 ///
 /// # Errors
 ///
-/// [`Error::Malformed`] with the row's key if the value is not the document that is expected.
+/// [`Error::Malformed`] with the row's key if the value is not a valid document of type `T`.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Result<T> {
     serde_json::from_str(&row.value)
         .map_err(|e| Error::malformed("table", format!("{}: {e}", row.key)))
 }
 
-/// Writes the value of a row.
+/// Serializes the value of a row.
 ///
 /// # Panics
 ///
-/// Panics if a key of a map in `doc` is not text, which no row's type allows.
+/// Panics if `doc` has a map whose keys are not strings; no row type has one.
 pub fn encode<T: Serialize>(doc: &T) -> String {
-    serde_json::to_string(doc).expect("rows have text keys")
+    serde_json::to_string(doc).expect("maps in rows have string keys")
 }
--- a/crates/tansyknot-control/tests/config.rs
+++ b/crates/tansyknot-control/tests/config.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration: once, in force, never older again.
+//! Configuration versions: each is accepted once, and the version in force never decreases.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 fn adapter(name: &str) -> Op {
     let text = format!("kind: adapter\nname: {name}\nservice: permit\n");
-    Op::Put(document::read(&text, "test").expect("the object is right").remove(0))
+    Op::Put(document::read(&text, "test").expect("the object is valid").remove(0))
 }
 
 fn author(name: &str) -> Author {
@@ -69,26 +69,26 @@
 #[test]
 fn change_on_top_of_an_older_version_is_refused() {
     let table = FakeTable::default();
-    apply_one(&table, 0, "a").expect("nobody races");
-    apply_one(&table, 1, "b").expect("nobody races");
+    apply_one(&table, 0, "a").expect("no other change was accepted");
+    apply_one(&table, 1, "b").expect("no other change was accepted");
     assert_eq!(apply_one(&table, 1, "c"), Err(ApplyError::Lost { won: 2 }));
 }
 
-/// A table whose answers are cut off if they have more rows than the daemon's link carries in the
-/// time of a call.
-struct NarrowTable {
+/// A table whose scans fail if their reply has more rows than the daemon's link can transfer
+/// within the timeout of a call.
+struct LimitedTable {
     table: FakeTable,
-    rows_most: usize,
+    max_rows: usize,
 }
 
-impl Table for NarrowTable {
+impl Table for LimitedTable {
     fn read(&self, key: &str) -> Result<Option<Row>> {
         self.table.read(key)
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>> {
         let rows = self.table.scan(prefix, after, limit)?;
-        if rows.len() > self.rows_most {
+        if rows.len() > self.max_rows {
             return Err(Error::unknown("table", "timeout in the answer"));
         }
         Ok(rows)
@@ -103,13 +103,13 @@
 fn daemon_that_cannot_read_all_changes_in_one_call_reads_the_objects() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    apply_one(&table, 0, "a").expect("nobody races");
+    apply_one(&table, 0, "a").expect("no other change was accepted");
     assert_eq!(view.follow(&table), Ok(Followed::Raised(1)));
     for base in 1..200 {
-        apply_one(&table, base, "a").expect("nobody races");
+        apply_one(&table, base, "a").expect("no other change was accepted");
     }
-    let narrow = NarrowTable { table: table.another_path(), rows_most: 50 };
-    assert_eq!(view.follow(&narrow), Ok(Followed::Raised(200)));
+    let limited = LimitedTable { table: table.another_path(), max_rows: 50 };
+    assert_eq!(view.follow(&limited), Ok(Followed::Raised(200)));
 }
 
 #[test]
@@ -118,7 +118,8 @@
     let view = ConfigView::default();
     assert_eq!(view.follow(&table), Ok(Followed::Unchanged));
     for version in 1..=5 {
-        apply_one(&table, version - 1, &format!("a{version}")).expect("nobody races");
+        apply_one(&table, version - 1, &format!("a{version}"))
+            .expect("no other change was accepted");
         assert_eq!(view.follow(&table), Ok(Followed::Raised(version)));
     }
     assert_eq!(view.with(|s| s.adapters().count()), 5);
@@ -141,12 +142,12 @@
     assert_eq!(view.follow(&table), Ok(Followed::Unchanged));
 }
 
-/// Applies with fresh reads although stale states are being kept.
+/// Applies a change with current reads while the table serves stale reads otherwise.
 fn apply_one_fresh(table: &FakeTable, base: ConfigVersion, name: &str) {
-    let kept = table.state.faults().stale_commits;
+    let stale_commits = table.state.faults().stale_commits;
     table.state.faults.lock().expect("no panic").stale_commits = usize::MAX;
-    apply_one(table, base, name).expect("nobody races");
-    table.set_stale(kept);
+    apply_one(table, base, name).expect("no other change was accepted");
+    table.set_stale(stale_commits);
 }
 
 #[test]
@@ -167,13 +168,13 @@
 fn outage_leaves_the_version_in_force() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    apply_one(&table, 0, "a").expect("nobody races");
+    apply_one(&table, 0, "a").expect("no other change was accepted");
     view.follow(&table).expect("up");
     table.set_down(true);
     assert!(view.follow(&table).is_err());
     assert_eq!(view.version(), 1);
     assert_eq!(view.with(|s| s.adapters().count()), 1);
-    // A daemon that starts during the outage has no configuration, rather than an older one.
+    // A daemon that starts during the outage has no configuration instead of an older one.
     let restarted = ConfigView::default();
     assert!(restarted.follow(&table).is_err());
     assert_eq!(restarted.version(), 0);
@@ -183,10 +184,10 @@
 fn daemon_far_behind_reads_the_objects_instead_of_the_changes() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    apply_one(&table, 0, "a0").expect("nobody races");
+    apply_one(&table, 0, "a0").expect("no other change was accepted");
     view.follow(&table).expect("up");
     for version in 1..=450 {
-        apply_one(&table, version, &format!("a{version}")).expect("nobody races");
+        apply_one(&table, version, &format!("a{version}")).expect("no other change was accepted");
     }
     assert_eq!(view.follow(&table), Ok(Followed::Raised(451)));
     assert_eq!(view.with(|s| s.adapters().count()), 451);
@@ -196,10 +197,10 @@
 fn missing_change_is_made_good_from_the_objects() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    apply_one(&table, 0, "a").expect("nobody races");
+    apply_one(&table, 0, "a").expect("no other change was accepted");
     view.follow(&table).expect("up");
-    apply_one(&table, 1, "b").expect("nobody races");
-    apply_one(&table, 2, "c").expect("nobody races");
+    apply_one(&table, 1, "b").expect("no other change was accepted");
+    apply_one(&table, 2, "c").expect("no other change was accepted");
     let lost = Transaction::default().set(config::change_key(2), None);
     table.commit(&lost).expect("up");
     assert_eq!(view.follow(&table), Ok(Followed::Raised(3)));
@@ -209,9 +210,9 @@
 #[test]
 fn rows_that_do_not_belong_together_are_not_brought_in_force() {
     let table = FakeTable::default();
-    apply_one(&table, 0, "a").expect("nobody races");
-    apply_one(&table, 1, "b").expect("nobody races");
-    // As a scan of a lagging copy would show it: the newest object is not there yet.
+    apply_one(&table, 0, "a").expect("no other change was accepted");
+    apply_one(&table, 1, "b").expect("no other change was accepted");
+    // The state that a scan of a lagging replica returns: the newest object is still missing.
     let lagging = Transaction::default().set("config/object/adapter/b", None);
     table.commit(&lagging).expect("up");
     let view = ConfigView::default();
@@ -223,11 +224,11 @@
 fn deleted_object_is_gone_and_stays_gone() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    apply_one(&table, 0, "a").expect("nobody races");
-    apply_one(&table, 1, "b").expect("nobody races");
+    apply_one(&table, 0, "a").expect("no other change was accepted");
+    apply_one(&table, 1, "b").expect("no other change was accepted");
     view.follow(&table).expect("up");
     let op = Op::Delete("adapter/a".to_owned());
-    config::apply(&table, 2, &[op], &author("x")).expect("nobody races");
+    config::apply(&table, 2, &[op], &author("x")).expect("no other change was accepted");
     view.follow(&table).expect("up");
     let fresh = ConfigView::default();
     fresh.follow(&table).expect("up");
@@ -242,25 +243,26 @@
     let world = World::new(&[80], Fencing::Checked);
     world.apply(1);
     let current = config::read_objects(&world.table).expect("up");
-    let same = document::read(&OBJECTS.replace("MAX", "1"), "test").expect("right");
+    let same = document::read(&OBJECTS.replace("MAX", "1"), "test").expect("the objects are valid");
     assert_eq!(config::difference(&current, &same), []);
-    let other: Vec<Object> = document::read(&OBJECTS.replace("MAX", "2"), "test").expect("right");
+    let other: Vec<Object> =
+        document::read(&OBJECTS.replace("MAX", "2"), "test").expect("the objects are valid");
     assert_eq!(config::difference(&current, &other).len(), 1);
 }
 
-/// Puts, deletes and puts again of the same objects: changes followed in one go or one by one, and
-/// a full read, lead to the same objects.
+/// Checks that repeated puts and deletes of the same objects give the same result when the changes
+/// are followed one by one, followed at once or read as objects.
 #[test]
 fn following_and_a_full_read_agree() {
     let table = FakeTable::default();
     let (step, late) = (ConfigView::default(), ConfigView::default());
-    apply_one(&table, 0, "a0").expect("nobody races");
+    apply_one(&table, 0, "a0").expect("no other change was accepted");
     late.follow(&table).expect("up");
     for version in 1..60_u64 {
         let name = format!("a{}", version % 7);
         let op =
             if version % 3 == 0 { Op::Delete(format!("adapter/{name}")) } else { adapter(&name) };
-        config::apply(&table, version, &[op], &author("x")).expect("nobody races");
+        config::apply(&table, version, &[op], &author("x")).expect("no other change was accepted");
         assert_eq!(step.follow(&table), Ok(Followed::Raised(version + 1)));
     }
     assert_eq!(late.follow(&table), Ok(Followed::Raised(60)));
--- a/crates/tansyknot-control/tests/idempotency.rs
+++ b/crates/tansyknot-control/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! At most one run for each key, whatever is lost and whoever asks.
+//! Idempotency keys: at most one run for each key, under lost messages and concurrent retries.
 
 use tansyknot_control::idempotency::{self, Begin, KeptAnswer, KeyUse};
 use tansyknot_core::name::{CallerName, Incarnation, RequestId};
@@ -7,7 +7,7 @@
 
 const DAY_MS: u64 = 86_400_000;
 
-struct Retry {
+struct KeyedRequest {
     caller: CallerName,
     request: RequestId,
     incarnation: Incarnation,
@@ -15,7 +15,7 @@
     at_ms: u64,
 }
 
-impl Retry {
+impl KeyedRequest {
     fn new(daemon: &str, request: &str) -> Self {
         Self {
             caller: CallerName::from("hauler"),
@@ -39,59 +39,60 @@
     }
 }
 
-fn fresh(begin: tansyknot_core::Result<Begin>) -> idempotency::KeyHandle {
+fn expect_fresh(begin: tansyknot_core::Result<Begin>) -> idempotency::KeyHandle {
     match begin {
         Ok(Begin::Fresh(handle)) => handle,
-        other => panic!("not a first use: {other:?}"),
+        other => panic!("expected a first use of the key, got {other:?}"),
     }
 }
 
-fn answer() -> KeptAnswer {
+fn response() -> KeptAnswer {
     KeptAnswer { status: 200, content_type: "text/plain".to_owned(), body: "done".to_owned() }
 }
 
 #[test]
-fn second_daemon_learns_that_the_first_has_the_key() {
+fn second_daemon_finds_the_key_started_by_the_first() {
     let table = FakeTable::default();
-    let _first = fresh(Retry::new("d0", "r0").begin(&table));
-    let second = Retry::new("d1", "r1").begin(&table.another_path());
+    let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
+    let second = KeyedRequest::new("d1", "r1").begin(&table.another_path());
     assert_eq!(second, Ok(Begin::Started(RequestId::from("r0"))));
 }
 
 #[test]
 fn retry_is_given_the_first_answer() {
     let table = FakeTable::default();
-    let first = fresh(Retry::new("d0", "r0").begin(&table));
-    idempotency::finish(&table, &first, Some(answer())).expect("up");
-    let second = Retry::new("d1", "r1").begin(&table);
-    assert_eq!(second, Ok(Begin::Done(Some(answer()))));
+    let first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
+    idempotency::finish(&table, &first, Some(response())).expect("up");
+    let second = KeyedRequest::new("d1", "r1").begin(&table);
+    assert_eq!(second, Ok(Begin::Done(Some(response()))));
 }
 
 #[test]
 fn key_with_another_request_is_refused() {
     let table = FakeTable::default();
-    let _first = fresh(Retry::new("d0", "r0").begin(&table));
-    let other = Retry { body: "other", ..Retry::new("d1", "r1") };
+    let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
+    let other = KeyedRequest { body: "other", ..KeyedRequest::new("d1", "r1") };
     assert_eq!(other.begin(&table), Ok(Begin::Reused));
 }
 
 #[test]
-fn callers_keys_never_meet() {
+fn keys_of_different_callers_are_independent() {
     let table = FakeTable::default();
-    let _first = fresh(Retry::new("d0", "r0").begin(&table));
+    let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     let caller = CallerName::from("other");
-    let _second = fresh(Retry { caller, ..Retry::new("d0", "r1") }.begin(&table));
+    let _second =
+        expect_fresh(KeyedRequest { caller, ..KeyedRequest::new("d0", "r1") }.begin(&table));
 }
 
 #[test]
 fn released_key_may_run() {
     let table = FakeTable::default();
-    let first = fresh(Retry::new("d0", "r0").begin(&table));
+    let first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     idempotency::release(&table, &first).expect("up");
-    let _second = fresh(Retry::new("d1", "r1").begin(&table));
-    // A release that comes late must not free the second use.
+    let _second = expect_fresh(KeyedRequest::new("d1", "r1").begin(&table));
+    // A late release by the first user of the key must not release the second use.
     idempotency::release(&table, &first).expect("up");
-    let third = Retry::new("d2", "r2").begin(&table);
+    let third = KeyedRequest::new("d2", "r2").begin(&table);
     assert_eq!(third, Ok(Begin::Started(RequestId::from("r1"))));
 }
 
@@ -100,23 +101,23 @@
     request_lost = { CommitFault::LostRequest, true },
     unreachable = { CommitFault::Unreachable, false },
 )]
-fn lost_messages_never_give_a_key_twice(fault: CommitFault, first_has_it: bool) {
+fn lost_messages_never_give_a_key_twice(fault: CommitFault, first_is_fresh: bool) {
     let table = FakeTable::default();
     table.script([fault]);
-    let first = Retry::new("d0", "r0").begin(&table);
-    let second = Retry::new("d1", "r1").begin(&table.another_path());
-    let got = |b: &tansyknot_core::Result<Begin>| matches!(b, Ok(Begin::Fresh(_)));
-    assert_eq!(got(&first), first_has_it);
-    assert_eq!(got(&second), !first_has_it);
+    let first = KeyedRequest::new("d0", "r0").begin(&table);
+    let second = KeyedRequest::new("d1", "r1").begin(&table.another_path());
+    let is_fresh = |b: &tansyknot_core::Result<Begin>| matches!(b, Ok(Begin::Fresh(_)));
+    assert_eq!(is_fresh(&first), first_is_fresh);
+    assert_eq!(is_fresh(&second), !first_is_fresh);
 }
 
 #[test]
 fn lost_write_of_the_answer_leaves_the_key_started() {
     let table = FakeTable::default();
-    let first = fresh(Retry::new("d0", "r0").begin(&table));
+    let first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     table.script([CommitFault::LostRequest, CommitFault::Unreachable]);
-    assert!(idempotency::finish(&table, &first, Some(answer())).is_err());
-    let second = Retry::new("d1", "r1").begin(&table);
+    assert!(idempotency::finish(&table, &first, Some(response())).is_err());
+    let second = KeyedRequest::new("d1", "r1").begin(&table);
     assert_eq!(second, Ok(Begin::Started(RequestId::from("r0"))));
 }
 
@@ -128,18 +129,18 @@
 fn midnight_between_two_daemons_gives_the_key_once(first_ms: u64, second_ms: u64) {
     let table = FakeTable::default();
     let rival = table.another_path();
-    let other = Retry { at_ms: second_ms, ..Retry::new("d1", "r1") };
-    table.set_before_commit(Box::new(move || drop(fresh(other.begin(&rival)))));
-    let first = Retry { at_ms: first_ms, ..Retry::new("d0", "r0") }.begin(&table);
+    let other = KeyedRequest { at_ms: second_ms, ..KeyedRequest::new("d1", "r1") };
+    table.set_before_commit(Box::new(move || drop(expect_fresh(other.begin(&rival)))));
+    let first = KeyedRequest { at_ms: first_ms, ..KeyedRequest::new("d0", "r0") }.begin(&table);
     assert_eq!(first, Ok(Begin::Started(RequestId::from("r1"))));
 }
 
 #[test]
 fn sweep_deletes_only_rows_past_their_days() {
     let table = FakeTable::default();
-    let _old = fresh(Retry::new("d0", "r0").begin(&table));
-    let new = Retry { at_ms: 102 * DAY_MS, ..Retry::new("d0", "r1") };
-    let _new = fresh(new.begin(&table));
+    let _old = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
+    let new = KeyedRequest { at_ms: 102 * DAY_MS, ..KeyedRequest::new("d0", "r1") };
+    let _new = expect_fresh(new.begin(&table));
     assert_eq!(idempotency::sweep(&table, 102 * DAY_MS, 10), Ok(0));
     assert_eq!(idempotency::sweep(&table, 103 * DAY_MS, 10), Ok(1));
     assert_eq!(new.begin(&table), Ok(Begin::Started(RequestId::from("r1"))));
