--- a/crates/tansyknot-control/src/claim.rs
+++ b/crates/tansyknot-control/src/claim.rs
@@ -1,58 +1,61 @@
-//! A claim on a replica: a lease that its holder checks immediately before each order.
+//! Claims on replicas: leases that the holder checks immediately before each order.
 
 use std::time::Duration;
 
 use tansyknot_core::{clock::Time, engine::Fence};
 
-/// How long a claim holds after its row was written.
-pub const CLAIM_SPAN: Duration = Duration::from_secs(10);
-/// An order is sent only if this much of the claim is left: longer than an order's timeout.
+/// How long a claim is valid, counted from before its row is written.
+pub const CLAIM_DURATION: Duration = Duration::from_secs(10);
+/// The validity that a claim must have left for an order to be sent; longer than an order's
+/// timeout, so that an order ends before its claim.
 pub const CLAIM_MARGIN: Duration = Duration::from_secs(3);
-/// Another daemon waits this long over an unchanged row before it takes over.
-pub const TAKE_OVER_AFTER: Duration = Duration::from_secs(12);
+/// How long another daemon must see a row unchanged before it takes over; longer than a claim.
+pub const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// A claim as its holder knows it.
+/// A claim as its holder sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The fencing token of orders under this claim.
     pub fence: Fence,
-    /// When the claim ends, by the holder's monotonic clock.
-    pub ends: Time,
+    /// When the claim expires, by the holder's monotonic clock.
+    pub expires_at: Time,
 }
 
 impl Claim {
-    /// Makes a claim that was asked for at `before`, the time before the write was sent.
+    /// Creates a claim whose write was sent at `requested_at` or later.
     ///
-    /// Counting from before the write makes the holder's end earlier than any observer's.
-    pub fn new(fence: Fence, before: Time) -> Self {
-        Self { fence, ends: before + CLAIM_SPAN }
+    /// Counting from before the write makes the claim expire for its holder before any observer
+    /// may take over.
+    pub fn new(fence: Fence, requested_at: Time) -> Self {
+        Self { fence, expires_at: requested_at + CLAIM_DURATION }
     }
 
-    /// Tells whether an order may be sent now.
+    /// Returns whether an order may be sent now.
     pub fn allows_order(&self, now: Time) -> bool {
-        now + CLAIM_MARGIN <= self.ends
+        now + CLAIM_MARGIN <= self.expires_at
     }
 }
 
-/// Watches a row of another holder by this daemon's own clock.
+/// Tracks how long another holder's slot has been unchanged, by this daemon's own clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Watch {
     token: String,
-    since: Time,
+    unchanged_since: Time,
 }
 
 impl Watch {
-    /// Starts watching a slot whose latest change bears `token`.
+    /// Starts watching a slot whose latest change has the writer token `token`.
     pub fn new(token: &str, now: Time) -> Self {
-        Self { token: token.to_owned(), since: now }
+        Self { token: token.to_owned(), unchanged_since: now }
     }
 
-    /// Looks again; tells whether the slot has stood unchanged for long enough to take over.
-    pub fn is_silent(&mut self, token: &str, now: Time) -> bool {
+    /// Records the current writer token; returns whether the slot has been unchanged for long
+    /// enough to take over.
+    pub fn is_unresponsive(&mut self, token: &str, now: Time) -> bool {
         if self.token != token {
             *self = Watch::new(token, now);
             return false;
         }
-        now.since(self.since) >= TAKE_OVER_AFTER
+        now.since(self.unchanged_since) >= TAKEOVER_TIMEOUT
     }
 }
--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -1,7 +1,8 @@
 //! The control loop for replicas: observe, decide, order, confirm.
 //!
-//! Every daemon runs it. The coordinator of a service acts for it; others follow the row and
-//! act only when the coordinator does not. The table arbitrates whenever two act at once.
+//! Every daemon runs it. The coordinator of a service acts for the service; other daemons follow
+//! its row and act only if the coordinator does not. When two daemons act at once, the table's
+//! compare-and-swap decides which change takes effect.
 
 mod look;
 mod place;
@@ -46,22 +47,24 @@
     usage::Usage,
 };
 
-/// A daemon that does not coordinate acts itself after its requests have waited this long.
-const FALLBACK_AFTER: Duration = Duration::from_millis(800);
-/// What a peer said about its demand is forgotten after this long.
-const REMOTE_DEMAND_SPAN: Duration = Duration::from_secs(3);
-/// A coordinator looks at a service without demand this often.
-const QUIET_STEP: Duration = Duration::from_secs(1);
-/// A daemon that waits for a coordinator reads the row again after this long at first.
-const FOLLOW_FIRST: Duration = Duration::from_millis(200);
-/// And then after twice as long each time, up to this.
-const FOLLOW_LONGEST: Duration = Duration::from_millis(1600);
-/// A service whose last step failed is tried again after this long.
-const FAILED_STEP: Duration = Duration::from_millis(500);
-/// When a caller should come back while the table is away.
-const STORE_RETRY: Duration = Duration::from_secs(5);
-
-/// What the control loop works with.
+/// How long requests wait for a service without slots before a daemon that is not its coordinator
+/// acts itself.
+const FALLBACK_DELAY: Duration = Duration::from_millis(800);
+/// The age at which the demand reported by a peer is dropped.
+const REMOTE_DEMAND_LIFETIME: Duration = Duration::from_secs(3);
+/// The interval between a coordinator's steps for a service without demand.
+const IDLE_STEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The first interval at which a daemon that waits for a coordinator reads the row again; it
+/// doubles with each read.
+const MIN_ROW_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The longest interval at which a daemon that waits for a coordinator reads the row again.
+const MAX_ROW_POLL_INTERVAL: Duration = Duration::from_millis(1600);
+/// The delay before the next step of a service whose last step failed.
+const FAILED_STEP_DELAY: Duration = Duration::from_millis(500);
+/// The retry delay that refusals give callers while the table is unavailable.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(5);
+
+/// The components that the control loop uses.
 pub struct Parts {
     /// The table service.
     pub table: Arc<dyn Table>,
@@ -73,15 +76,15 @@
     pub config: Arc<ConfigView>,
     /// The pools of this daemon.
     pub pools: Arc<Pools>,
-    /// The replica rows as last read.
+    /// The cached replica rows.
     pub directory: Arc<Directory>,
-    /// Opens ready replicas to requests.
+    /// Publishes ready replicas to the pools.
     pub publisher: Arc<Publisher>,
     /// The other daemons.
     pub peers: Arc<dyn Peers>,
-    /// Where replicas are loaded.
+    /// The policy that chooses targets for replicas.
     pub placement: Box<dyn Placement>,
-    /// How long unused replicas stay.
+    /// The policy that decides how long unused replicas stay.
     pub retention: Box<dyn Retention>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
@@ -89,58 +92,60 @@
     pub incarnation: Incarnation,
 }
 
-/// What this process knows of its own work on one slot.
+/// The work of this process on one slot that it holds.
 #[derive(Clone, Debug)]
 struct SlotWork {
     claim: Claim,
     /// Whether the engine has accepted a load order under this claim.
-    ordered: bool,
+    load_accepted: bool,
     /// When the work on the slot began.
-    began: Time,
-    /// Load orders sent for it.
-    orders: u32,
+    started_at: Time,
+    /// The number of load orders sent for the slot.
+    orders_sent: u32,
 }
 
-/// How far the checkpoint of a service has been brought near the engines.
+/// The progress of staging a service's checkpoint, that is, of copying it to a target's host by a
+/// load before the first request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Staged {
-    /// Not looked at yet.
+enum StagingState {
+    /// The targets have not been queried yet.
     #[default]
     Unknown,
-    /// To be looked at again from this time on.
-    Later(Time),
-    /// A load was begun at this time and nobody has used its replica that is known of.
+    /// The targets are to be queried again from this time on.
+    CheckAfter(Time),
+    /// A load for staging was started at this time and no use of its replica is recorded.
     Loading(Time),
-    /// It is near.
-    Near,
+    /// A target's host holds the checkpoint.
+    Cached,
 }
 
-/// What this process knows of one service.
+/// The state of this process for one service.
 #[derive(Debug, Default)]
 struct ServiceState {
     work: HashMap<TargetName, SlotWork>,
     watches: HashMap<TargetName, Watch>,
     draining_since: HashMap<TargetName, Time>,
     checked_at: HashMap<TargetName, Time>,
-    /// When the last load order that was not answered was sent. This outlives the claim.
-    unanswered: HashMap<TargetName, Time>,
+    /// When the last unanswered load order for each target was sent. An entry outlives the claim,
+    /// because the order may still reach the engine.
+    unanswered_load_at: HashMap<TargetName, Time>,
     waiting_since: Option<Time>,
-    follow_pause: Duration,
-    staging: Staged,
+    row_poll_interval: Duration,
+    staging: StagingState,
     next_step: Time,
 }
 
-/// What each peer last said that it has waiting for a service, and when.
+/// The latest demand that each peer reported for a service and when it was received.
 type RemoteDemand = HashMap<DaemonName, (Waiting, Time)>;
 
-/// The accelerators that hold one service.
+/// The accelerators that are used by one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceleratorUse {
     /// The service.
     pub service: ServiceName,
-    /// Accelerators with the model, in any state.
+    /// Accelerators with the service's model in any state.
     pub loaded: u32,
-    /// Those with a request.
+    /// Accelerators with a request in flight.
     pub busy: u32,
 }
 
@@ -149,20 +154,20 @@
     parts: Parts,
     usage: Usage,
     states: Mutex<HashMap<ServiceName, Arc<Mutex<ServiceState>>>>,
-    remote: Mutex<HashMap<ServiceName, RemoteDemand>>,
+    remote_demand: Mutex<HashMap<ServiceName, RemoteDemand>>,
     busy: Mutex<HashSet<ServiceName>>,
-    next_full_look: Mutex<Time>,
-    kept: Mutex<(ConfigVersion, Vec<ServiceName>)>,
+    next_full_pass: Mutex<Time>,
+    preloaded: Mutex<(ConfigVersion, Vec<ServiceName>)>,
 }
 
-/// What the operators decided for a service with a model.
+/// The model and the rule of a service, as configured by the operators.
 #[derive(Clone, Debug)]
-struct Decided {
+struct ModelConfig {
     model: Model,
     rule: Rule,
 }
 
-impl Decided {
+impl ModelConfig {
     fn weight(&self) -> ColdWeight {
         match self.rule.retention.weight {
             Weight::Cold => ColdWeight::More,
@@ -179,37 +184,38 @@
     }
 
     fn retention(&self, load_time: Duration) -> RetentionOptions {
-        let kept = &self.rule.retention;
+        let limits = &self.rule.retention;
         RetentionOptions {
             cold_start_worth: retention::cold_start_worth(self.weight()),
-            at_least: kept.at_least.duration(),
-            at_most: kept.at_most.duration(),
+            at_least: limits.at_least.duration(),
+            at_most: limits.at_most.duration(),
             load_time,
         }
     }
 }
 
 impl Reconciler {
-    /// Makes a control loop that has read nothing yet.
+    /// Creates a control loop that has not read any state yet.
     pub fn new(parts: Parts) -> Self {
         Self {
             parts,
             usage: Usage::default(),
             states: Mutex::default(),
-            remote: Mutex::default(),
+            remote_demand: Mutex::default(),
             busy: Mutex::default(),
-            next_full_look: Mutex::default(),
-            kept: Mutex::default(),
+            next_full_pass: Mutex::default(),
+            preloaded: Mutex::default(),
         }
     }
 
-    /// Observes a service and acts for it.
+    /// Observes a service and takes the next actions for it.
     ///
     /// # Errors
     ///
-    /// Fails if the table does. Requests that need a new replica are then given up at once.
+    /// Fails if the table does. Waiting requests of a service without an open target are then
+    /// refused at once.
     pub fn step(&self, service: &ServiceName) -> Result<()> {
-        if !self.knows_enough() {
+        if !self.has_initial_state() {
             return Ok(());
         }
         let state = self.state(service);
@@ -221,69 +227,69 @@
                 if result.is_err() {
                     self.parts.directory.mark_stale(service);
                 }
-                state.next_step = now + self.pause(service, &mut state);
-                let quiet = state.work.is_empty() && state.waiting_since.is_none();
-                self.set_busy(service, !quiet);
+                state.next_step = now + self.next_step_delay(service, &mut state);
+                let is_idle = state.work.is_empty() && state.waiting_since.is_none();
+                self.set_busy(service, !is_idle);
             }
             Err(e) => {
-                state.next_step = now + FAILED_STEP;
-                self.give_up_cold(service, e);
+                state.next_step = now + FAILED_STEP_DELAY;
+                self.refuse_cold_requests(service, e);
             }
         }
         match result {
-            // A lost race is no failure: the next step reads what the winner wrote.
+            // A conflict is no failure: the next step reads what the other daemon wrote.
             Err(Error::Conflict { .. }) => Ok(()),
             other => other,
         }
     }
 
-    /// Returns the time until the next step if nothing is heard before.
-    fn pause(&self, service: &ServiceName, state: &mut ServiceState) -> Duration {
-        let waits = self.parts.pools.demand(service).waiting.waiting > 0;
-        let acts = self.parts.peers.is_coordinator(service);
-        if !state.work.is_empty() || (waits && acts) {
-            state.follow_pause = FOLLOW_FIRST;
+    /// Returns the delay until the next step if no message arrives before.
+    fn next_step_delay(&self, service: &ServiceName, state: &mut ServiceState) -> Duration {
+        let has_waiting = self.parts.pools.demand(service).waiting.waiting > 0;
+        let is_coordinator = self.parts.peers.is_coordinator(service);
+        if !state.work.is_empty() || (has_waiting && is_coordinator) {
+            state.row_poll_interval = MIN_ROW_POLL_INTERVAL;
             return Duration::ZERO;
         }
-        if !waits {
-            state.follow_pause = FOLLOW_FIRST;
-            return QUIET_STEP;
+        if !has_waiting {
+            state.row_poll_interval = MIN_ROW_POLL_INTERVAL;
+            return IDLE_STEP_INTERVAL;
         }
-        // The coordinator tells when the row changes; reading it again is for lost messages.
-        let pause = state.follow_pause.max(FOLLOW_FIRST);
-        state.follow_pause = (pause * 2).min(FOLLOW_LONGEST);
-        pause
+        // The coordinator sends a message when the row changes; polling covers lost messages.
+        let delay = state.row_poll_interval.max(MIN_ROW_POLL_INTERVAL);
+        state.row_poll_interval = (delay * 2).min(MAX_ROW_POLL_INTERVAL);
+        delay
     }
 
-    /// Tells whether anything may be concluded about replicas: not before the configuration and
-    /// the list of hosts have been read.
-    fn knows_enough(&self) -> bool {
+    /// Returns whether the configuration and the list of hosts have been read; before that, no
+    /// decision about replicas is sound.
+    fn has_initial_state(&self) -> bool {
         self.parts.config.version() > 0 && self.parts.hosts.is_known()
     }
 
     fn step_locked(&self, service: &ServiceName, state: &mut ServiceState) -> Result<()> {
         let now = self.parts.clock.now();
-        let local = self.note_local(service, state, now);
-        let decided = self.decided(service);
+        let local = self.record_local_demand(service, state, now);
+        let model_config = self.model_config(service);
         let mut replicas = self.observe(service, state, &local, now)?;
-        let acts = self.acts(service, state, &replicas.row, now);
+        let should_act = self.should_act(service, state, &replicas.row, now);
         for target in targets(&replicas.row) {
-            self.advance_slot(service, state, &mut replicas, &target, acts)?;
+            self.advance_slot(service, state, &mut replicas, &target, should_act)?;
         }
-        if acts {
-            let demand = self.demand(service, &local, decided.as_ref(), now);
-            self.adjust(service, state, &mut replicas, decided.as_ref(), &demand)?;
-            // A slot that was just reserved is ordered at once: a caller waits for it.
-            for target in unordered(state) {
-                self.advance_slot(service, state, &mut replicas, &target, acts)?;
+        if should_act {
+            let demand = self.demand(service, &local, model_config.as_ref(), now);
+            self.adjust(service, state, &mut replicas, model_config.as_ref(), &demand)?;
+            // The load of a newly reserved slot is ordered at once, as callers wait for it.
+            for target in targets_without_order(state) {
+                self.advance_slot(service, state, &mut replicas, &target, should_act)?;
             }
         }
         Ok(())
     }
 
-    /// Returns the row: as it is known while nothing is going on, otherwise read anew.
+    /// Returns the cached row while the service is idle, and otherwise reads the row.
     ///
-    /// A change on a row that is known too old conflicts, and the next step reads it.
+    /// A change based on an outdated row conflicts, and the next step then reads the row.
     fn observe(
         &self,
         service: &ServiceName,
@@ -291,20 +297,21 @@
         local: &LocalDemand,
         now: Time,
     ) -> Result<Versioned<ReplicaRow>> {
-        let quiet = state.work.is_empty() && state.watches.is_empty() && local.waiting.waiting == 0;
-        if quiet
+        let is_idle =
+            state.work.is_empty() && state.watches.is_empty() && local.waiting.waiting == 0;
+        if is_idle
             && !self.parts.directory.needs_read(service, now)
-            && let Some(known) = self.parts.directory.versioned(service)
+            && let Some(cached) = self.parts.directory.versioned(service)
         {
-            return Ok(known);
+            return Ok(cached);
         }
         let replicas = replicas::read_replicas(self.parts.table.as_ref(), service)?;
         self.publish(service, &replicas, now);
         Ok(replicas)
     }
 
-    /// Takes in this daemon's own demand and tells the coordinator.
-    fn note_local(
+    /// Records this daemon's own demand and sends it to the coordinator.
+    fn record_local_demand(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
@@ -328,51 +335,51 @@
         local
     }
 
-    fn acts(
+    fn should_act(
         &self,
         service: &ServiceName,
         state: &ServiceState,
         row: &ReplicaRow,
         now: Time,
     ) -> bool {
-        let ignored = row.slots.is_empty()
-            && state.waiting_since.is_some_and(|since| now.since(since) >= FALLBACK_AFTER);
-        ignored || self.parts.peers.is_coordinator(service)
+        let is_fallback_due = row.slots.is_empty()
+            && state.waiting_since.is_some_and(|since| now.since(since) >= FALLBACK_DELAY);
+        is_fallback_due || self.parts.peers.is_coordinator(service)
     }
 
     fn demand(
         &self,
         service: &ServiceName,
         local: &LocalDemand,
-        decided: Option<&Decided>,
+        model_config: Option<&ModelConfig>,
         now: Time,
     ) -> Demand {
-        let mut remote = self.remote.lock().expect("no holder of the lock panics");
-        let mut all = local.waiting;
-        if let Some(peers) = remote.get_mut(service) {
-            peers.retain(|_, (_, at)| now.since(*at) < REMOTE_DEMAND_SPAN);
+        let mut remote_demand = self.remote_demand.lock().expect("no holder of the lock panics");
+        let mut total = local.waiting;
+        if let Some(peers) = remote_demand.get_mut(service) {
+            peers.retain(|_, (_, at)| now.since(*at) < REMOTE_DEMAND_LIFETIME);
             for (waiting, _) in peers.values() {
-                all.waiting += waiting.waiting;
-                all.in_flight += waiting.in_flight;
+                total.waiting += waiting.waiting;
+                total.in_flight += waiting.in_flight;
             }
         }
-        remote.retain(|_, peers| !peers.is_empty());
+        remote_demand.retain(|_, peers| !peers.is_empty());
         Demand {
-            waiting: all.waiting,
-            in_flight: all.in_flight,
-            per_replica: decided.map_or(1, |d| d.rule.requests.in_flight_per_replica),
+            waiting: total.waiting,
+            in_flight: total.in_flight,
+            per_replica: model_config.map_or(1, |c| c.rule.requests.in_flight_per_replica),
             service_time: local.service_time,
             load_time: local.load_time,
         }
     }
 
-    /// Keeps a row and opens its ready replicas to requests.
+    /// Caches a row and publishes its ready replicas to the pools.
     fn publish(&self, service: &ServiceName, replicas: &Versioned<ReplicaRow>, now: Time) {
         self.parts.directory.keep(service, replicas.version, &replicas.row, now);
         self.parts.publisher.publish(service);
     }
 
-    /// Reads the row again after a change of this process and publishes it.
+    /// Reads the row after a change by this process, publishes it and notifies the peers.
     fn reread(&self, service: &ServiceName, replicas: &mut Versioned<ReplicaRow>) -> Result<()> {
         *replicas = replicas::read_replicas(self.parts.table.as_ref(), service)?;
         self.publish(service, replicas, self.parts.clock.now());
@@ -380,12 +387,12 @@
         Ok(())
     }
 
-    fn decided(&self, service: &ServiceName) -> Option<Decided> {
+    fn model_config(&self, service: &ServiceName) -> Option<ModelConfig> {
         self.parts.config.with(|store| {
             let resolved = store.resolve(service.as_str())?;
             let Backend::Model(model) = &resolved.service.backend else { return None };
             let rule = resolved.rule?.clone();
-            Some(Decided { model: model.clone(), rule })
+            Some(ModelConfig { model: model.clone(), rule })
         })
     }
 
@@ -393,12 +400,13 @@
         Writer { incarnation: self.parts.incarnation.clone(), at_ms: self.parts.clock.wall_ms() }
     }
 
-    /// Gives up requests that wait for a replica which can't be loaded while the table is away.
-    fn give_up_cold(&self, service: &ServiceName, e: &Error) {
+    /// Refuses requests that wait for a first replica, which can't be loaded while the table is
+    /// unavailable.
+    fn refuse_cold_requests(&self, service: &ServiceName, e: &Error) {
         if self.parts.pools.demand(service).has_upstream {
             return;
         }
-        let refusal = Refusal::later(Reason::StoreUnavailable, STORE_RETRY, e.to_string());
+        let refusal = Refusal::later(Reason::StoreUnavailable, STORE_RETRY_DELAY, e.to_string());
         self.parts.pools.refuse_waiting(service, &refusal);
     }
 
@@ -408,9 +416,10 @@
     }
 }
 
-fn unordered(state: &ServiceState) -> Vec<TargetName> {
-    let fresh = state.work.iter().filter(|(_, work)| !work.ordered && work.orders == 0);
-    fresh.map(|(target, _)| target.clone()).collect()
+fn targets_without_order(state: &ServiceState) -> Vec<TargetName> {
+    let new_work =
+        state.work.iter().filter(|(_, work)| !work.load_accepted && work.orders_sent == 0);
+    new_work.map(|(target, _)| target.clone()).collect()
 }
 
 fn targets(row: &ReplicaRow) -> Vec<TargetName> {
--- a/crates/tansyknot-control/src/reconcile/look.rs
+++ b/crates/tansyknot-control/src/reconcile/look.rs
@@ -1,4 +1,4 @@
-//! Which services want a step, and when.
+//! Selection of the services that need a step.
 
 use tansyknot_config::{
     object::{Backend, Rule, Weight},
@@ -6,25 +6,26 @@
 };
 use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::Waiting, replica};
 
-use super::{QUIET_STEP, Reconciler};
+use super::{IDLE_STEP_INTERVAL, Reconciler};
 use crate::{config, replicas};
 
 impl Reconciler {
-    /// Returns the services that want a step now.
+    /// Returns the services that need a step now.
     ///
-    /// Services that wait for something are looked at each time, all others once a second.
+    /// Services with pending work are checked at each call, all others once a second.
     pub fn due(&self) -> Vec<ServiceName> {
         let now = self.parts.clock.now();
-        let mut services = if self.full_look_due(now) { self.all_services() } else { self.busy() };
-        services.retain(|service| self.wants_step(service, now));
+        let mut services =
+            if self.is_full_pass_due(now) { self.all_services() } else { self.busy() };
+        services.retain(|service| self.needs_step(service, now));
         services
     }
 
-    fn full_look_due(&self, now: Time) -> bool {
-        let mut next = self.next_full_look.lock().expect("no holder of the lock panics");
+    fn is_full_pass_due(&self, now: Time) -> bool {
+        let mut next = self.next_full_pass.lock().expect("no holder of the lock panics");
         let due = now >= *next;
         if due {
-            *next = now + QUIET_STEP;
+            *next = now + IDLE_STEP_INTERVAL;
         }
         due
     }
@@ -37,13 +38,13 @@
         let mut services = self.parts.directory.services();
         services.extend(self.parts.pools.services());
         services.extend(self.remote_services());
-        services.extend(self.kept_services());
+        services.extend(self.preloaded_services());
         services.sort();
         services.dedup();
         services
     }
 
-    /// Marks a service to be looked at each time, or only once a second.
+    /// Sets whether a service is checked at each call of [`Reconciler::due`] or once a second.
     pub(super) fn set_busy(&self, service: &ServiceName, is_busy: bool) {
         let mut busy = self.busy.lock().expect("no holder of the lock panics");
         if is_busy {
@@ -62,25 +63,26 @@
     }
 
     fn remote_services(&self) -> Vec<ServiceName> {
-        self.remote.lock().expect("no holder of the lock panics").keys().cloned().collect()
+        self.remote_demand.lock().expect("no holder of the lock panics").keys().cloned().collect()
     }
 
-    /// Returns the services that are loaded without a request: those that the operators want
-    /// kept, and those whose checkpoints are to be brought near.
+    /// Returns the services that are loaded without a request: those with a minimum number of
+    /// replicas and those whose checkpoints are staged.
     ///
-    /// They are found once for each version: it takes each service past each rule's selector.
-    fn kept_services(&self) -> Vec<ServiceName> {
+    /// They are computed once for each configuration version, because that matches each service
+    /// against the selector of each rule.
+    fn preloaded_services(&self) -> Vec<ServiceName> {
         let version = self.parts.config.version();
-        let mut kept = self.kept.lock().expect("no holder of the lock panics");
-        if kept.0 != version {
-            *kept = (version, self.parts.config.with(find_kept));
+        let mut preloaded = self.preloaded.lock().expect("no holder of the lock panics");
+        if preloaded.0 != version {
+            *preloaded = (version, self.parts.config.with(find_preloaded));
         }
-        kept.1.clone()
+        preloaded.1.clone()
     }
 
-    fn wants_step(&self, service: &ServiceName, now: Time) -> bool {
+    fn needs_step(&self, service: &ServiceName, now: Time) -> bool {
         let state = self.state(service);
-        // A step that is running in another thread needs no second one.
+        // A step of the service that is running in another thread needs no second one.
         let Ok(state) = state.try_lock() else { return false };
         if now < state.next_step {
             return false;
@@ -94,7 +96,7 @@
             || self.parts.peers.is_coordinator(service)
     }
 
-    /// Reads every replica row, for services that nobody has asked this daemon for.
+    /// Reads every replica row, so that services without requests at this daemon are cached too.
     ///
     /// # Errors
     ///
@@ -108,17 +110,17 @@
         })
     }
 
-    /// Returns the number of replica rows that this daemon has read.
+    /// Returns the number of cached replica rows.
     pub fn known_rows(&self) -> usize {
         self.parts.directory.services().len()
     }
 }
 
-fn find_kept(store: &Store) -> Vec<ServiceName> {
-    let wanted = |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == Weight::Cold;
-    let kept = store.services().filter(|service| {
+fn find_preloaded(store: &Store) -> Vec<ServiceName> {
+    let is_preloaded = |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == Weight::Cold;
+    let preloaded = store.services().filter(|service| {
         let is_model = matches!(service.backend, Backend::Model(_));
-        is_model && store.rule_for(service).is_some_and(wanted)
+        is_model && store.rule_for(service).is_some_and(is_preloaded)
     });
-    kept.map(|service| service.name.clone()).collect()
+    preloaded.map(|service| service.name.clone()).collect()
 }
--- a/crates/tansyknot-control/src/reconcile/place.rs
+++ b/crates/tansyknot-control/src/reconcile/place.rs
@@ -1,4 +1,4 @@
-//! Reserving a replica: choose a place, check limit and memory, commit, order.
+//! Reservation of a replica: chooses a target, checks the limit and the memory, and commits.
 
 use rand::seq::IndexedRandom;
 use tansyknot_core::{
@@ -14,24 +14,24 @@
     staging::Staging,
 };
 
-use super::{Decided, Reconciler, ServiceState, SlotWork};
+use super::{ModelConfig, Reconciler, ServiceState, SlotWork};
 use crate::{
     claim::Claim,
-    replicas::{self, Reserve, Unreserved, Versioned},
+    replicas::{self, ReserveError, ReserveRequest, Versioned},
 };
 
-/// Targets that are asked before a placement, chosen at random if there are more.
-const ASKED: usize = 12;
+/// The most targets that are queried for a placement; a random sample if more are eligible.
+const MAX_QUERIED_TARGETS: usize = 12;
 
-/// A target with what was read of it for a placement.
-struct Asked {
+/// A target with its memory row and engine status, as read for a placement.
+struct Candidate {
     target: Target,
     memory: Versioned<MemoryRow>,
     status: EngineStatus,
 }
 
-impl Asked {
-    /// Returns bytes in use that no reservation explains, for instance after a lost table.
+impl Candidate {
+    /// Returns the bytes in use beyond the reservations, for instance after the table lost rows.
     fn unexplained_bytes(&self) -> u64 {
         self.status.used_bytes.saturating_sub(self.memory.row.reserved_bytes())
     }
@@ -54,49 +54,50 @@
     }
 }
 
-/// What became of a wish for a replica.
+/// The outcome of [`Reconciler::reserve`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Placed {
+pub(super) enum ReserveOutcome {
     /// A replica is reserved.
     Reserved,
-    /// Other daemons changed the rows meanwhile; the next step tries again.
-    Raced,
-    /// No target has room.
+    /// Another daemon changed the rows concurrently; the next step retries.
+    Conflicted,
+    /// No target has enough memory left.
     NoRoom,
-    /// No target that the operators' selector chooses is there or answers.
+    /// No target that matches the rule's selector is listed and responds.
     NoTarget,
 }
 
 impl Reconciler {
-    /// Reserves one more replica on the best place and leaves the order to the next step.
+    /// Reserves one more replica on the best target; the load order is sent separately.
     pub(super) fn reserve(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: &Decided,
-    ) -> Result<Placed> {
-        let asked = self.ask_targets(decided)?;
-        if asked.is_empty() {
-            return Ok(Placed::NoTarget);
+        model_config: &ModelConfig,
+    ) -> Result<ReserveOutcome> {
+        let candidates = self.query_targets(model_config)?;
+        if candidates.is_empty() {
+            return Ok(ReserveOutcome::NoTarget);
         }
-        let need = need(&replicas.row, decided, &asked);
-        let places: Vec<Place> = asked.iter().map(|a| a.place(service)).collect();
+        let need = need(&replicas.row, model_config, &candidates);
+        let places: Vec<Place> = candidates.iter().map(|c| c.place(service)).collect();
         let Some(best) = self.parts.placement.order(&need, &places).first().copied() else {
-            return Ok(Placed::NoRoom);
+            return Ok(ReserveOutcome::NoRoom);
         };
-        self.reserve_at(service, state, replicas, decided, &asked[best])
+        self.reserve_at(service, state, replicas, model_config, &candidates[best])
     }
 
-    /// Asks how near the checkpoint of a service lies, and whether a load would be in the way.
-    pub(super) fn look_at_stage(
+    /// Queries the targets for the nearest checkpoint of a service, the running loads and whether
+    /// there is room for a replica.
+    pub(super) fn read_staging(
         &self,
         service: &ServiceName,
-        decided: &Decided,
+        model_config: &ModelConfig,
     ) -> Result<Staging> {
-        let asked = self.ask_targets(decided)?;
-        let places: Vec<Place> = asked.iter().map(|a| a.place(service)).collect();
-        let need = need(&ReplicaRow::default(), decided, &asked);
+        let candidates = self.query_targets(model_config)?;
+        let places: Vec<Place> = candidates.iter().map(|c| c.place(service)).collect();
+        let need = need(&ReplicaRow::default(), model_config, &candidates);
         Ok(Staging {
             nearest: places.iter().map(|p| p.tier).min().unwrap_or(Tier::Remote),
             loading: places.iter().map(|p| p.loading).sum(),
@@ -109,67 +110,70 @@
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: &Decided,
-        asked: &Asked,
-    ) -> Result<Placed> {
-        let reserve = Reserve {
+        model_config: &ModelConfig,
+        candidate: &Candidate,
+    ) -> Result<ReserveOutcome> {
+        let reserve = ReserveRequest {
             service,
-            target: &asked.target.name,
-            memory_bytes: decided.model.reserved_bytes(),
-            target_bytes: asked.total_bytes(),
-            unexplained_bytes: asked.unexplained_bytes(),
-            limit: decided.rule.replicas.max,
+            target: &candidate.target.name,
+            memory_bytes: model_config.model.reserved_bytes(),
+            target_bytes: candidate.total_bytes(),
+            unexplained_bytes: candidate.unexplained_bytes(),
+            limit: model_config.rule.replicas.max,
             head_row: self.parts.config.head_row(),
         };
-        match replicas::check_reserve(&reserve, &replicas.row, &asked.memory.row) {
+        match replicas::check_reserve(&reserve, &replicas.row, &candidate.memory.row) {
             Ok(()) => {}
-            Err(Unreserved::NoRoom) => return Ok(Placed::NoRoom),
-            Err(Unreserved::AtLimit | Unreserved::AlreadyThere) => return Ok(Placed::Raced),
+            Err(ReserveError::NoRoom) => return Ok(ReserveOutcome::NoRoom),
+            Err(ReserveError::AtLimit | ReserveError::AlreadyPlaced) => {
+                return Ok(ReserveOutcome::Conflicted);
+            }
         }
-        let before = self.parts.clock.now();
+        let requested_at = self.parts.clock.now();
         let table = self.parts.table.as_ref();
-        let row = match replicas::reserve(table, &reserve, replicas, &asked.memory, &self.writer())
-        {
-            Ok(row) => row,
-            Err(Error::Conflict { .. }) => return Ok(Placed::Raced),
-            Err(e) => return Err(e),
-        };
-        let claim = Claim::new(row.last_fence, before);
-        let work = SlotWork { claim, ordered: false, began: before, orders: 0 };
-        state.work.insert(asked.target.name.clone(), work);
+        let row =
+            match replicas::reserve(table, &reserve, replicas, &candidate.memory, &self.writer()) {
+                Ok(row) => row,
+                Err(Error::Conflict { .. }) => return Ok(ReserveOutcome::Conflicted),
+                Err(e) => return Err(e),
+            };
+        let claim = Claim::new(row.last_fence, requested_at);
+        let work =
+            SlotWork { claim, load_accepted: false, started_at: requested_at, orders_sent: 0 };
+        state.work.insert(candidate.target.name.clone(), work);
         event::REPLICA_RESERVED.emit(&[
             ("service", service),
-            ("target", &asked.target.name),
+            ("target", &candidate.target.name),
             ("fence", &row.last_fence),
             ("config", &self.parts.config.version()),
         ]);
         self.reread(service, replicas)?;
-        Ok(Placed::Reserved)
+        Ok(ReserveOutcome::Reserved)
     }
 
-    /// Asks the targets that the rule's selector chooses; one that does not answer is left out.
-    fn ask_targets(&self, decided: &Decided) -> Result<Vec<Asked>> {
-        let mut chosen = self.parts.hosts.select(&decided.rule.targets);
-        chosen.retain(|t| t.kind == TargetKind::Engine);
+    /// Queries the targets that match the rule's selector; one that does not respond is left out.
+    fn query_targets(&self, model_config: &ModelConfig) -> Result<Vec<Candidate>> {
+        let mut eligible = self.parts.hosts.select(&model_config.rule.targets);
+        eligible.retain(|t| t.kind == TargetKind::Engine);
         let sample: Vec<Target> =
-            chosen.choose_multiple(&mut rand::rng(), ASKED).cloned().collect();
-        let mut asked = Vec::with_capacity(sample.len());
+            eligible.choose_multiple(&mut rand::rng(), MAX_QUERIED_TARGETS).cloned().collect();
+        let mut candidates = Vec::with_capacity(sample.len());
         for target in sample {
             let Ok(status) = self.parts.engine.status(&target) else { continue };
             let memory = replicas::read_memory(self.parts.table.as_ref(), &target.name)?;
-            asked.push(Asked { target, memory, status });
+            candidates.push(Candidate { target, memory, status });
         }
-        Ok(asked)
+        Ok(candidates)
     }
 }
 
-fn need(row: &ReplicaRow, decided: &Decided, asked: &[Asked]) -> Need {
+fn need(row: &ReplicaRow, model_config: &ModelConfig, candidates: &[Candidate]) -> Need {
     let zone = |name: &TargetName| -> Option<ZoneName> {
-        let found = asked.iter().find(|a| a.target.name == *name);
-        found.map(|a| a.target.availability_zone.clone())
+        let found = candidates.iter().find(|c| c.target.name == *name);
+        found.map(|c| c.target.availability_zone.clone())
     };
     Need {
-        memory_bytes: decided.model.reserved_bytes(),
+        memory_bytes: model_config.model.reserved_bytes(),
         zones_taken: row.slots.iter().filter_map(|s| zone(&s.target)).collect(),
         targets_taken: row.slots.iter().map(|s| s.target.clone()).collect(),
     }
--- a/crates/tansyknot-control/src/reconcile/report.rs
+++ b/crates/tansyknot-control/src/reconcile/report.rs
@@ -1,4 +1,4 @@
-//! What this daemon says to its peers about services, and what it hears from them.
+//! Reports on the use of services that are sent to peers and received from them.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 
 use super::{AcceleratorUse, Reconciler};
 
-/// Uses are reported once a second; this takes up a late round.
-const REPORT_SPAN: Duration = Duration::from_millis(1500);
+/// The age up to which a use is reported. Reports are sent once a second; the margin covers a late
+/// one.
+const REPORT_WINDOW: Duration = Duration::from_millis(1500);
 
 impl Reconciler {
-    /// Tells the coordinators which services this daemon uses.
+    /// Reports the services that this daemon uses to their coordinators.
     pub fn report_use(&self) {
         let now = self.parts.clock.now();
         let mut uses = Vec::new();
@@ -22,7 +23,7 @@
             let Some(last) = local.last_use else { continue };
             let in_flight = local.waiting.in_flight;
             let ago = if in_flight > 0 { Duration::ZERO } else { now.since(last) };
-            if ago >= REPORT_SPAN {
+            if ago >= REPORT_WINDOW {
                 continue;
             }
             if self.parts.peers.is_coordinator(&service) {
@@ -36,9 +37,9 @@
         }
     }
 
-    /// Returns the accelerators that hold the services this daemon coordinates.
+    /// Returns the accelerators of the services that this daemon coordinates.
     ///
-    /// A replica counts as one accelerator; it is busy while it has a request.
+    /// A replica counts as one accelerator, which is busy while it has a request in flight.
     pub fn accelerators(&self) -> Vec<AcceleratorUse> {
         let now = self.parts.clock.now();
         let mut uses = Vec::new();
@@ -58,16 +59,16 @@
         uses
     }
 
-    fn hear_waiting(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting) {
+    fn record_remote_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting) {
         let now = self.parts.clock.now();
-        let mut remote = self.remote.lock().expect("no holder of the lock panics");
-        remote.entry(service.clone()).or_default().insert(daemon.clone(), (waiting, now));
+        let mut remote_demand = self.remote_demand.lock().expect("no holder of the lock panics");
+        remote_demand.entry(service.clone()).or_default().insert(daemon.clone(), (waiting, now));
     }
 }
 
 impl PeerListener for Reconciler {
     fn hear_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting) {
-        self.hear_waiting(service, daemon, waiting);
+        self.record_remote_demand(service, daemon, waiting);
         self.usage.record(service, self.parts.clock.now());
         self.make_due(service);
     }
@@ -77,7 +78,7 @@
         for used in uses {
             self.usage.record(&used.service, now.before(used.ago));
             let waiting = Waiting { waiting: 0, in_flight: used.in_flight };
-            self.hear_waiting(&used.service, daemon, waiting);
+            self.record_remote_demand(&used.service, daemon, waiting);
         }
     }
 
--- a/crates/tansyknot-control/src/reconcile/retire.rs
+++ b/crates/tansyknot-control/src/reconcile/retire.rs
@@ -1,4 +1,5 @@
-//! How many replicas stay: scaling up, removing surplus and idle ones, making room.
+//! The number of replicas: scaling up, staging checkpoints, draining surplus and idle replicas, and
+//! eviction for other services.
 
 use std::time::Duration;
 
@@ -18,28 +19,28 @@
     staging,
 };
 
-use super::{Decided, Reconciler, ServiceState, Staged, place::Placed};
+use super::{ModelConfig, Reconciler, ServiceState, StagingState, place::ReserveOutcome};
 use crate::replicas::Versioned;
 
-/// A model whose checkpoint is far, and could not be staged, is looked at again after this long.
-const STAGE_LOOK: Duration = Duration::from_secs(5);
-/// When a caller should come back if no replica can be loaded.
-const CAPACITY_RETRY: Duration = Duration::from_secs(10);
+/// The delay before the next attempt to stage a checkpoint that no target's host holds.
+const STAGING_RETRY_INTERVAL: Duration = Duration::from_secs(5);
+/// The retry delay that refusals give callers if no replica can be loaded.
+const CAPACITY_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 impl Reconciler {
-    /// Brings the number of replicas to what the operators and the demand want.
+    /// Adjusts the number of replicas to the rule and the demand.
     pub(super) fn adjust(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: Option<&Decided>,
+        model_config: Option<&ModelConfig>,
         demand: &Demand,
     ) -> Result<()> {
-        let Some(decided) = decided else {
+        let Some(model_config) = model_config else {
             return self.drain_surplus(service, state, replicas, 0);
         };
-        let max = decided.rule.replicas.max;
+        let max = model_config.rule.replicas.max;
         if max == 0 {
             self.refuse(service, Reason::NoCapacity, "the rule allows no replica");
         }
@@ -48,21 +49,22 @@
             return self.drain_surplus(service, state, replicas, max);
         }
         let present = count(&replicas.row, |s| s.state != SlotState::Draining);
-        let (idle, plan) = self.idle_plan(service, decided, demand.load_time);
-        let prewarm = plan.prewarm.is_some_and(|(from, span)| idle >= from && idle < from + span);
-        let mut wanted = scaling::wanted(demand, present, decided.bounds(demand.load_time));
+        let (idle, plan) = self.idle_plan(service, model_config, demand.load_time);
+        let prewarm =
+            plan.prewarm.is_some_and(|(from, duration)| idle >= from && idle < from + duration);
+        let mut wanted = scaling::wanted(demand, present, model_config.bounds(demand.load_time));
         if prewarm {
             wanted = wanted.max(1).min(max);
         }
         if wanted > present && total < max {
-            return self.grow(service, state, replicas, decided, demand);
+            return self.grow(service, state, replicas, model_config, demand);
         }
-        let quiet = demand.waiting == 0 && demand.in_flight == 0;
-        if quiet && !prewarm && present > decided.rule.replicas.min {
-            return self.drain_idle(service, state, replicas, decided, idle, plan.keep);
+        let is_idle = demand.waiting == 0 && demand.in_flight == 0;
+        if is_idle && !prewarm && present > model_config.rule.replicas.min {
+            return self.drain_idle(service, state, replicas, model_config, idle, plan.keep);
         }
         if total == 0 && max > 0 {
-            return self.stage(service, state, replicas, decided, demand);
+            return self.stage(service, state, replicas, model_config, demand);
         }
         Ok(())
     }
@@ -72,38 +74,38 @@
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: &Decided,
+        model_config: &ModelConfig,
         demand: &Demand,
     ) -> Result<()> {
-        match self.reserve(service, state, replicas, decided)? {
-            Placed::Reserved => {
+        match self.reserve(service, state, replicas, model_config)? {
+            ReserveOutcome::Reserved => {
                 let ready = self.parts.clock.now() + demand.load_time;
                 self.parts.pools.expect_ready(service, Some(ready));
                 Ok(())
             }
-            Placed::Raced => Ok(()),
-            Placed::NoRoom if demand.waiting > 0 => {
-                if !self.make_room(service, decided)? && replicas.row.slots.is_empty() {
+            ReserveOutcome::Conflicted => Ok(()),
+            ReserveOutcome::NoRoom if demand.waiting > 0 => {
+                if !self.make_room(service, model_config)? && replicas.row.slots.is_empty() {
                     event::NO_PLACE.emit(&[("service", service)]);
                     self.refuse(service, Reason::NoCapacity, "no target has memory left");
                 }
                 Ok(())
             }
-            Placed::NoTarget if demand.waiting > 0 && replicas.row.slots.is_empty() => {
+            ReserveOutcome::NoTarget if demand.waiting > 0 && replicas.row.slots.is_empty() => {
                 event::NO_PLACE.emit(&[("service", service)]);
                 self.refuse(service, Reason::NoTarget, "no target of the rule answers");
                 Ok(())
             }
-            Placed::NoRoom | Placed::NoTarget => Ok(()),
+            ReserveOutcome::NoRoom | ReserveOutcome::NoTarget => Ok(()),
         }
     }
 
     fn refuse(&self, service: &ServiceName, reason: Reason, detail: &str) {
-        let refusal = Refusal::later(reason, CAPACITY_RETRY, detail);
+        let refusal = Refusal::later(reason, CAPACITY_RETRY_DELAY, detail);
         self.parts.pools.refuse_waiting(service, &refusal);
     }
 
-    /// Drains replicas above `limit`, ready ones that cost the least to lose first.
+    /// Drains the replicas above `limit`, the most recently reserved first.
     fn drain_surplus(
         &self,
         service: &ServiceName,
@@ -111,38 +113,38 @@
         replicas: &mut Versioned<ReplicaRow>,
         limit: u32,
     ) -> Result<()> {
-        let staying: Vec<Slot> =
+        let active: Vec<Slot> =
             replicas.row.slots.iter().filter(|s| s.state != SlotState::Draining).cloned().collect();
-        let surplus = staying.len().saturating_sub(limit as usize);
-        for slot in staying.iter().rev().take(surplus) {
+        let surplus = active.len().saturating_sub(limit as usize);
+        for slot in active.iter().rev().take(surplus) {
             self.begin_drain(service, state, replicas, slot)?;
         }
         Ok(())
     }
 
-    /// Drains one replica that has been unused for as long as its plan says.
+    /// Drains one replica whose service has been idle for as long as its retention plan allows.
     fn drain_idle(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: &Decided,
+        model_config: &ModelConfig,
         idle: Duration,
-        keep: Duration,
+        max_idle: Duration,
     ) -> Result<()> {
-        let staged = self.is_only_staged(service, state, self.parts.clock.now());
+        let is_staged = self.is_staged_only(service, state, self.parts.clock.now());
         let is_extra = replicas.row.slots.len() > 1;
-        let short = staged || is_extra;
-        let least = decided.rule.retention.at_least.duration();
-        let span = if short { keep.min(least) } else { keep };
-        if idle < span {
+        let use_min_retention = is_staged || is_extra;
+        let min_retention = model_config.rule.retention.at_least.duration();
+        let retention = if use_min_retention { max_idle.min(min_retention) } else { max_idle };
+        if idle < retention {
             return Ok(());
         }
         let ready = replicas.row.slots.iter().find(|s| s.state == SlotState::Ready).cloned();
         match ready {
             Some(slot) => {
-                if staged {
-                    state.staging = Staged::Near;
+                if is_staged {
+                    state.staging = StagingState::Cached;
                 }
                 self.begin_drain(service, state, replicas, &slot)
             }
@@ -150,67 +152,67 @@
         }
     }
 
-    /// Loads a model once that nobody asks for, so that its checkpoint is near when someone does.
+    /// Loads a model without demand once, so that a host holds its checkpoint at the first request.
     fn stage(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
-        decided: &Decided,
+        model_config: &ModelConfig,
         demand: &Demand,
     ) -> Result<()> {
         let now = self.parts.clock.now();
         let is_due = match state.staging {
-            Staged::Unknown => true,
-            Staged::Later(at) => now >= at,
-            Staged::Loading(_) | Staged::Near => false,
+            StagingState::Unknown => true,
+            StagingState::CheckAfter(at) => now >= at,
+            StagingState::Loading(_) | StagingState::Cached => false,
         };
-        let quiet = demand.waiting == 0 && demand.in_flight == 0;
-        if !is_due || !quiet || decided.rule.retention.weight != Weight::Cold {
+        let is_idle = demand.waiting == 0 && demand.in_flight == 0;
+        if !is_due || !is_idle || model_config.rule.retention.weight != Weight::Cold {
             return Ok(());
         }
-        let staging = self.look_at_stage(service, decided)?;
+        let staging = self.read_staging(service, model_config)?;
         if staging.nearest != Tier::Remote {
-            state.staging = Staged::Near;
+            state.staging = StagingState::Cached;
             return Ok(());
         }
-        state.staging = Staged::Later(now + STAGE_LOOK);
+        state.staging = StagingState::CheckAfter(now + STAGING_RETRY_INTERVAL);
         if staging::wants_staging(&staging)
-            && self.reserve(service, state, replicas, decided)? == Placed::Reserved
+            && self.reserve(service, state, replicas, model_config)? == ReserveOutcome::Reserved
         {
-            // From here on any use is later, and makes the replica one like others.
-            self.usage.get_or_begin(service, now);
-            state.staging = Staged::Loading(now);
+            // Any later use is recorded after `now` and turns this into an ordinary replica.
+            self.usage.get_or_insert(service, now);
+            state.staging = StagingState::Loading(now);
         }
         Ok(())
     }
 
-    /// Tells whether the replica is there for its checkpoint alone: nobody has used it.
-    fn is_only_staged(&self, service: &ServiceName, state: &ServiceState, now: Time) -> bool {
-        let Staged::Loading(since) = state.staging else { return false };
-        self.usage.get_or_begin(service, now).last <= since
+    /// Returns whether the replica was loaded only to stage its checkpoint and has not been used.
+    fn is_staged_only(&self, service: &ServiceName, state: &ServiceState, now: Time) -> bool {
+        let StagingState::Loading(since) = state.staging else { return false };
+        self.usage.get_or_insert(service, now).last_used <= since
     }
 
-    /// Returns how long the service has been unused, and what its gaps say to do about it.
+    /// Returns how long the service has been idle and the retention plan from its idle gaps.
     fn idle_plan(
         &self,
         service: &ServiceName,
-        decided: &Decided,
+        model_config: &ModelConfig,
         load_time: Duration,
     ) -> (Duration, Plan) {
         let now = self.parts.clock.now();
-        let used = self.usage.get_or_begin(service, now);
-        let plan = self.parts.retention.plan(&used.gaps, &decided.retention(load_time));
-        (now.since(used.last), plan)
+        let usage = self.usage.get_or_insert(service, now);
+        let plan = self.parts.retention.plan(&usage.gaps, &model_config.retention(load_time));
+        (now.since(usage.last_used), plan)
     }
 
-    /// Drains the replica of another service that has been idle longest, if one is past its
-    /// least retention; tells whether room is on its way.
-    fn make_room(&self, service: &ServiceName, decided: &Decided) -> Result<bool> {
+    /// Evicts a replica of the service that has been idle longest among those past their minimum
+    /// retention; returns whether memory is being freed.
+    fn make_room(&self, service: &ServiceName, model_config: &ModelConfig) -> Result<bool> {
         let now = self.parts.clock.now();
-        let allowed = self.parts.hosts.select(&decided.rule.targets);
+        let allowed = self.parts.hosts.select(&model_config.rule.targets);
         let is_allowed = |slot: &Slot| allowed.iter().any(|t| t.name == slot.target);
-        let mut victims = Vec::new();
+        let mut candidates = Vec::new();
         for other in self.parts.directory.services() {
             let Some(row) = self.parts.directory.row(&other) else { continue };
             if other == *service {
@@ -225,37 +227,37 @@
                 continue;
             };
             if let Some(idle) = self.evictable_idle(&other, &row, now) {
-                victims.push((idle, other, slot.clone()));
+                candidates.push((idle, other, slot.clone()));
             }
         }
-        let Some((_, other, slot)) = victims.into_iter().max_by_key(|(idle, ..)| *idle) else {
+        let Some((_, other, slot)) = candidates.into_iter().max_by_key(|(idle, ..)| *idle) else {
             return Ok(false);
         };
         self.evict(&other, &slot)
     }
 
-    /// Returns how long a service has been idle if one of its replicas may be removed for room.
+    /// Returns how long a service has been idle if one of its replicas may be evicted.
     fn evictable_idle(
         &self,
         service: &ServiceName,
         row: &ReplicaRow,
         now: Time,
     ) -> Option<Duration> {
-        let decided = self.decided(service)?;
+        let model_config = self.model_config(service)?;
         let local = self.parts.pools.demand(service).waiting;
         if local.waiting > 0 || local.in_flight > 0 {
             return None;
         }
-        if row.slots.len() <= decided.rule.replicas.min as usize {
+        if row.slots.len() <= model_config.rule.replicas.min as usize {
             return None;
         }
-        let idle = now.since(self.usage.get_or_begin(service, now).last);
-        (idle >= decided.rule.retention.at_least.duration()).then_some(idle)
+        let idle = now.since(self.usage.get_or_insert(service, now).last_used);
+        (idle >= model_config.rule.retention.at_least.duration()).then_some(idle)
     }
 
     fn evict(&self, service: &ServiceName, slot: &Slot) -> Result<bool> {
         let state = self.state(service);
-        // Another thread's step on that service may be waiting for this one.
+        // Blocking could deadlock: that service's step in another thread may wait for this one.
         let Ok(mut state) = state.try_lock() else { return Ok(true) };
         let mut replicas = crate::replicas::read_replicas(self.parts.table.as_ref(), service)?;
         if replicas.row.slot(&slot.target).is_none_or(|s| s.state != SlotState::Ready) {
@@ -266,6 +268,6 @@
     }
 }
 
-fn count(row: &ReplicaRow, holds: impl Fn(&Slot) -> bool) -> u32 {
-    u32::try_from(row.slots.iter().filter(|s| holds(s)).count()).unwrap_or(u32::MAX)
+fn count(row: &ReplicaRow, predicate: impl Fn(&Slot) -> bool) -> u32 {
+    u32::try_from(row.slots.iter().filter(|s| predicate(s)).count()).unwrap_or(u32::MAX)
 }
--- a/crates/tansyknot-control/src/reconcile/slot.rs
+++ b/crates/tansyknot-control/src/reconcile/slot.rs
@@ -1,4 +1,4 @@
-//! One slot, one step further: order, confirm, take over, remove.
+//! The steps of one slot: load, confirm, take over, drain and remove.
 
 use std::time::Duration;
 
@@ -18,54 +18,56 @@
     replicas::{self, OwnOrders, SlotChange, Versioned},
 };
 
-/// A target that is missing from the list for this long is gone.
-const GONE_AFTER: Duration = Duration::from_secs(10);
-/// A draining replica is left alone this long, for daemons that have not heard of it.
+/// A target that has been missing from the list for this long is treated as gone.
+const MISSING_TARGET_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a draining replica stays loaded for daemons that have not yet seen the drain.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// The coordinator asks the engine of a ready replica this often.
-const CHECK_EVERY: Duration = Duration::from_secs(10);
-/// An order that an engine has not read by then has been dropped with its connection. Engines
-/// that ignore fencing tokens give no better word; docs/PROMISES.md says what this leaves open.
+/// The interval at which the coordinator checks the engine of a ready replica.
+const READY_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// The age at which an order that the engine has not read counts as dropped with its connection.
+///
+/// Engines that ignore fencing tokens offer no stronger guarantee; docs/PROMISES.md lists the
+/// remaining risk.
 const ORDER_LIFETIME: Duration = Duration::from_secs(60);
-/// Load orders before a slot is given up.
-const MAX_ORDERS: u32 = 3;
+/// The number of load orders that may fail before a slot is drained.
+const MAX_LOAD_ORDERS: u32 = 3;
 
 impl Reconciler {
-    /// Moves the slot on `target` one step further.
+    /// Takes the next step for the slot on `target`.
     pub(super) fn advance_slot(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
         replicas: &mut Versioned<ReplicaRow>,
         target: &TargetName,
-        acts: bool,
+        should_act: bool,
     ) -> Result<()> {
         let Some(slot) = replicas.row.slot(target).cloned() else { return Ok(()) };
-        let mine = slot.holder == self.parts.incarnation;
-        if mine {
+        let is_holder = slot.holder == self.parts.incarnation;
+        if is_holder {
             state.watches.remove(target);
         } else {
             state.work.remove(target);
         }
-        let former = !mine && slot.ordering.contains(&self.parts.incarnation);
-        if former && self.own_orders(state, target) == OwnOrders::Settled {
+        let is_former_holder = !is_holder && slot.ordering.contains(&self.parts.incarnation);
+        if is_former_holder && self.own_orders(state, target) == OwnOrders::Settled {
             self.change(service, replicas, target, &SlotChange::Settle)?;
             return Ok(());
         }
         match slot.state {
-            SlotState::Reserved if mine => self.advance_load(service, state, replicas, &slot),
-            SlotState::Draining if mine => self.advance_drain(service, state, replicas, &slot),
-            SlotState::Ready if acts => self.check_ready(service, state, replicas, &slot),
+            SlotState::Reserved if is_holder => self.advance_load(service, state, replicas, &slot),
+            SlotState::Draining if is_holder => self.advance_drain(service, state, replicas, &slot),
+            SlotState::Ready if should_act => self.check_ready(service, state, replicas, &slot),
             SlotState::Ready => Ok(()),
-            SlotState::Reserved | SlotState::Draining if acts => {
-                self.watch(service, state, replicas, &slot)
+            SlotState::Reserved | SlotState::Draining if should_act => {
+                self.watch_holder(service, state, replicas, &slot)
             }
             SlotState::Reserved | SlotState::Draining => Ok(()),
         }
     }
 
-    /// Takes over a slot whose holder has been silent for longer than its claim.
-    fn watch(
+    /// Takes over a slot that its holder has left unchanged for longer than a claim is valid.
+    fn watch_holder(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
@@ -77,14 +79,14 @@
             .watches
             .entry(slot.target.clone())
             .or_insert_with(|| Watch::new(&slot.token, now));
-        if !watch.is_silent(&slot.token, now) {
+        if !watch.is_unresponsive(&slot.token, now) {
             return Ok(());
         }
         event::REPLICA_TAKEN_OVER.emit(&[("service", service), ("target", &slot.target)]);
         self.claim(service, state, replicas, &slot.target)
     }
 
-    /// Claims the slot under a new fencing token.
+    /// Claims the slot on `target` under a new fencing token.
     fn claim(
         &self,
         service: &ServiceName,
@@ -92,22 +94,22 @@
         replicas: &mut Versioned<ReplicaRow>,
         target: &TargetName,
     ) -> Result<()> {
-        let before = self.parts.clock.now();
+        let requested_at = self.parts.clock.now();
         let row = self.change(service, replicas, target, &SlotChange::Claim)?;
         let Some(slot) = row.slot(target) else { return Ok(()) };
-        let claim = Claim::new(slot.fence, before);
+        let claim = Claim::new(slot.fence, requested_at);
         let old = state.work.get(target);
         let work = SlotWork {
             claim,
-            ordered: false,
-            began: old.map_or(before, |w| w.began),
-            orders: old.map_or(0, |w| w.orders),
+            load_accepted: false,
+            started_at: old.map_or(requested_at, |w| w.started_at),
+            orders_sent: old.map_or(0, |w| w.orders_sent),
         };
         state.work.insert(target.clone(), work);
         Ok(())
     }
 
-    /// Writes a change of a slot and reads the row again.
+    /// Commits a change of a slot and reads the row again.
     pub(super) fn change(
         &self,
         service: &ServiceName,
@@ -130,13 +132,13 @@
     ) -> Result<()> {
         let now = self.parts.clock.now();
         let Some(target) = self.parts.hosts.target(&slot.target) else {
-            return self.give_back_if_gone(service, state, replicas, slot);
+            return self.release_if_target_gone(service, state, replicas, slot);
         };
         let Some(work) = state.work.get(&slot.target).cloned() else {
             return self.claim(service, state, replicas, &slot.target);
         };
-        if !work.ordered {
-            if work.orders >= MAX_ORDERS || target.state == HostState::Leaving {
+        if !work.load_accepted {
+            if work.orders_sent >= MAX_LOAD_ORDERS || target.state == HostState::Leaving {
                 return self.begin_drain(service, state, replicas, slot);
             }
             if !work.claim.allows_order(now) {
@@ -149,7 +151,7 @@
             Some(ModelState::Ready) => {
                 let own = self.own_orders(state, &slot.target);
                 self.change(service, replicas, &slot.target, &SlotChange::Ready(own))?;
-                let took = self.parts.clock.now().since(work.began);
+                let took = self.parts.clock.now().since(work.started_at);
                 state.work.remove(&slot.target);
                 state.checked_at.insert(slot.target.clone(), now);
                 self.parts.pools.record_load(service, took);
@@ -161,12 +163,12 @@
                 Ok(())
             }
             Some(ModelState::Loading | ModelState::Unloading) => Ok(()),
-            // The engine has forgotten the order: it was restarted or the load failed.
+            // The engine no longer has the load: it was restarted or the load failed.
             None => self.claim(service, state, replicas, &slot.target),
         }
     }
 
-    /// Sends a load order; the claim was checked in the same moment.
+    /// Sends a load order, whose claim the calling function has just checked.
     fn order_load(
         &self,
         service: &ServiceName,
@@ -175,22 +177,22 @@
         slot: &Slot,
         target: &Target,
     ) -> Result<()> {
-        let Some(decided) = self.decided(service) else {
+        let Some(model_config) = self.model_config(service) else {
             return self.begin_drain(service, state, replicas, slot);
         };
         let order = LoadOrder {
             service: service.clone(),
-            checkpoint: decided.model.checkpoint,
+            checkpoint: model_config.model.checkpoint,
             memory_bytes: slot.memory_bytes,
             fence: slot.fence,
         };
         if let Some(work) = state.work.get_mut(&slot.target) {
-            work.orders += 1;
+            work.orders_sent += 1;
         }
         let result = self.parts.engine.load(target, &order);
         let Err(e) = result else {
             if let Some(work) = state.work.get_mut(&slot.target) {
-                work.ordered = true;
+                work.load_accepted = true;
             }
             return Ok(());
         };
@@ -202,11 +204,11 @@
             }
             Error::OutOfMemory => self.begin_drain(service, state, replicas, slot),
             e if e.may_have_taken_effect() => {
-                state.unanswered.insert(slot.target.clone(), self.parts.clock.now());
+                state.unanswered_load_at.insert(slot.target.clone(), self.parts.clock.now());
                 Ok(())
             }
-            // The order is idempotent on this target: it is sent again under this claim or the
-            // next. Until the engine answers, the slot and its memory stay counted.
+            // The order is idempotent on this target and is sent again under this claim or the
+            // next. Until the engine accepts it, the slot and its memory stay counted.
             _ => Ok(()),
         }
     }
@@ -220,13 +222,13 @@
     ) -> Result<()> {
         let now = self.parts.clock.now();
         let Some(target) = self.parts.hosts.target(&slot.target) else {
-            return self.give_back_if_gone(service, state, replicas, slot);
+            return self.release_if_target_gone(service, state, replicas, slot);
         };
         if target.state == HostState::Leaving {
             return self.begin_drain(service, state, replicas, slot);
         }
         let last = state.checked_at.get(&slot.target).copied();
-        if last.is_some_and(|at| now.since(at) < CHECK_EVERY) {
+        if last.is_some_and(|at| now.since(at) < READY_CHECK_INTERVAL) {
             return Ok(());
         }
         let Ok(status) = self.parts.engine.status(&target) else { return Ok(()) };
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Closes a slot to new requests before it is removed.
+    /// Closes a slot to new requests so that it can be removed.
     pub(super) fn begin_drain(
         &self,
         service: &ServiceName,
@@ -252,15 +254,16 @@
         replicas: &mut Versioned<ReplicaRow>,
         slot: &Slot,
     ) -> Result<()> {
-        let before = self.parts.clock.now();
+        let requested_at = self.parts.clock.now();
         let own = self.own_orders(state, &slot.target);
         let row = self.change(service, replicas, &slot.target, &SlotChange::Drain(own))?;
         event::REPLICA_DRAINING.emit(&[("service", service), ("target", &slot.target)]);
         let fence = row.slot(&slot.target).map_or(slot.fence, |s| s.fence);
-        let claim = Claim::new(fence, before);
-        let work = SlotWork { claim, ordered: false, began: before, orders: 0 };
+        let claim = Claim::new(fence, requested_at);
+        let work =
+            SlotWork { claim, load_accepted: false, started_at: requested_at, orders_sent: 0 };
         state.work.insert(slot.target.clone(), work);
-        state.draining_since.insert(slot.target.clone(), before);
+        state.draining_since.insert(slot.target.clone(), requested_at);
         Ok(())
     }
 
@@ -277,7 +280,7 @@
             return Ok(());
         }
         let Some(target) = self.parts.hosts.target(&slot.target) else {
-            return self.give_back_if_gone(service, state, replicas, slot);
+            return self.release_if_target_gone(service, state, replicas, slot);
         };
         let claimed = state.work.get(&slot.target).is_some_and(|w| w.claim.allows_order(now));
         if !claimed {
@@ -289,18 +292,20 @@
         }
         let order = UnloadOrder { service: service.clone(), fence: slot.fence };
         match self.parts.engine.unload(&target, &order) {
-            Ok(()) => self.give_back(service, state, replicas, slot, Some(&target)),
+            Ok(()) => self.release_slot(service, state, replicas, slot, Some(&target)),
             Err(Error::StaleFence { .. }) => {
                 state.work.remove(&slot.target);
                 Ok(())
             }
-            // Busy or not answered: the slot stays counted and the order is sent again.
+            // The engine is busy or did not respond: the slot stays counted and the order is sent
+            // again by a later step.
             Err(_) => Ok(()),
         }
     }
 
-    /// Gives back the slot of a target that has long been missing from the list.
-    fn give_back_if_gone(
+    /// Releases the slot of a target that has been missing from the list for
+    /// [`MISSING_TARGET_TIMEOUT`].
+    fn release_if_target_gone(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
@@ -311,19 +316,21 @@
             return Ok(());
         }
         let now = self.parts.clock.now();
-        // After a restart a target that was never seen counts as missing from the first look.
+        // A target that was not listed since this daemon started counts as missing from this check
+        // on.
         let since = match self.parts.hosts.missing_since(&slot.target) {
             Some(since) => since,
-            None => first_look(state, &slot.target, now),
+            None => first_missing_check(state, &slot.target, now),
         };
-        if now.since(since) < GONE_AFTER {
+        if now.since(since) < MISSING_TARGET_TIMEOUT {
             return Ok(());
         }
-        self.give_back(service, state, replicas, slot, None)
+        self.release_slot(service, state, replicas, slot, None)
     }
 
-    /// Removes the slot if no order of an earlier holder can still load the model there.
-    fn give_back(
+    /// Removes the slot unless a pending load order may still load the model at a target that
+    /// ignores fencing tokens.
+    fn release_slot(
         &self,
         service: &ServiceName,
         state: &mut ServiceState,
@@ -331,9 +338,9 @@
         slot: &Slot,
         target: Option<&Target>,
     ) -> Result<()> {
-        let checked = target.is_some_and(|t| t.fencing == Fencing::Checked);
-        if !checked
-            && (self.has_order_under_way(slot)?
+        let checks_fence = target.is_some_and(|t| t.fencing == Fencing::Checked);
+        if !checks_fence
+            && (self.has_pending_order(slot)?
                 || self.own_orders(state, &slot.target) == OwnOrders::Unsettled)
         {
             event::REPLICA_HELD.emit(&[("service", service), ("target", &slot.target)]);
@@ -349,15 +356,16 @@
         self.reread(service, replicas)
     }
 
-    /// Tells whether a load order of this process that was never answered may still arrive.
+    /// Returns whether an unanswered load order of this process may still arrive.
     fn own_orders(&self, state: &ServiceState, target: &TargetName) -> OwnOrders {
         let now = self.parts.clock.now();
-        let fresh = state.unanswered.get(target).is_some_and(|at| now.since(*at) < ORDER_LIFETIME);
-        if fresh { OwnOrders::Unsettled } else { OwnOrders::Settled }
+        let may_arrive =
+            state.unanswered_load_at.get(target).is_some_and(|at| now.since(*at) < ORDER_LIFETIME);
+        if may_arrive { OwnOrders::Unsettled } else { OwnOrders::Settled }
     }
 
-    /// Tells whether an incarnation other than this one may still have a load order on its way.
-    fn has_order_under_way(&self, slot: &Slot) -> Result<bool> {
+    /// Returns whether a load order of another incarnation may still arrive.
+    fn has_pending_order(&self, slot: &Slot) -> Result<bool> {
         for incarnation in &slot.ordering {
             if *incarnation == self.parts.incarnation {
                 continue;
@@ -370,7 +378,7 @@
     }
 }
 
-fn first_look(state: &mut ServiceState, target: &TargetName, now: Time) -> Time {
+fn first_missing_check(state: &mut ServiceState, target: &TargetName, now: Time) -> Time {
     *state.draining_since.entry(target.clone()).or_insert(now)
 }
 
--- a/crates/tansyknot-control/src/replicas.rs
+++ b/crates/tansyknot-control/src/replicas.rs
@@ -1,4 +1,4 @@
-//! Changes of replica and memory rows, each one transaction with a writer token.
+//! Changes of replica and memory rows. Each is one transaction with a writer token.
 
 use serde::de::DeserializeOwned;
 use tansyknot_core::{
@@ -11,7 +11,7 @@
 
 use crate::{config::HEAD_KEY, row};
 
-/// A row with the version that it was read at.
+/// A row's value with the row version at which it was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Versioned<T> {
     /// The version; [`ABSENT`] if there was no row.
@@ -20,41 +20,41 @@
     pub row: T,
 }
 
-/// Who writes, and when.
+/// The writer of a change and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Writer {
     /// This run of this daemon.
     pub incarnation: Incarnation,
-    /// The wall-clock time for people, in milliseconds since the Unix epoch.
+    /// The wall-clock time, for display only, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// What is to be reserved.
+/// A request to reserve a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reserve<'a> {
+pub struct ReserveRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// Where.
+    /// The target of the replica.
     pub target: &'a TargetName,
-    /// Bytes that the replica takes.
+    /// Bytes of memory that the replica takes.
     pub memory_bytes: u64,
-    /// Bytes that the target has for models.
+    /// Bytes of memory that the target has for models.
     pub target_bytes: u64,
-    /// Bytes in use at the target that no reservation explains.
+    /// Bytes in use at the target beyond its reservations.
     pub unexplained_bytes: u64,
-    /// The operators' limit.
+    /// The operators' limit on replicas of the service.
     pub limit: u32,
-    /// The row version of the configuration's head that the limit was read with.
+    /// The row version of the configuration's head with which the limit was read.
     pub head_row: RowVersion,
 }
 
-/// Why nothing was reserved.
+/// The reason why no replica may be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreserved {
-    /// The service has as many replicas as the operators decided.
+pub enum ReserveError {
+    /// The service already has as many replicas as the operators allow.
     AtLimit,
     /// The target already has a replica of the service.
-    AlreadyThere,
+    AlreadyPlaced,
     /// The target has too little memory left.
     NoRoom,
 }
@@ -84,7 +84,7 @@
     read(table, &replica::memory_key(target))
 }
 
-/// Decodes a replica row of a scan, with its service.
+/// Decodes a scanned replica row and returns it with its service.
 ///
 /// # Errors
 ///
@@ -95,37 +95,38 @@
     Ok((ServiceName::from(service), decoded))
 }
 
-/// Decides on a reservation from the rows as read: limit, place and memory.
+/// Checks a reservation against the rows as read: the limit, the target and its memory.
 ///
 /// # Errors
 ///
-/// Fails with what stands against it.
+/// Returns the reason if the reservation is not allowed.
 pub fn check_reserve(
-    reserve: &Reserve<'_>,
+    reserve: &ReserveRequest<'_>,
     replicas: &ReplicaRow,
     memory: &MemoryRow,
-) -> std::result::Result<(), Unreserved> {
+) -> std::result::Result<(), ReserveError> {
     if replicas.slot(reserve.target).is_some() {
-        return Err(Unreserved::AlreadyThere);
+        return Err(ReserveError::AlreadyPlaced);
     }
     if replicas.slots.len() >= reserve.limit as usize {
-        return Err(Unreserved::AtLimit);
+        return Err(ReserveError::AtLimit);
     }
     let taken = memory.reserved_bytes().saturating_add(reserve.unexplained_bytes);
     if taken.saturating_add(reserve.memory_bytes) > reserve.target_bytes {
-        return Err(Unreserved::NoRoom);
+        return Err(ReserveError::NoRoom);
     }
     Ok(())
 }
 
-/// Reserves a replica: the slot, the memory and the limit's version in one transaction.
+/// Reserves a replica in one transaction that adds the slot, reserves the memory and checks the
+/// version of the limit.
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] if a row changed since it was read, also the configuration's head.
+/// [`Error::Conflict`] if a row, including the configuration's head, changed since it was read.
 pub fn reserve(
     table: &dyn Table,
-    reserve: &Reserve<'_>,
+    reserve: &ReserveRequest<'_>,
     replicas: &Versioned<ReplicaRow>,
     memory: &Versioned<MemoryRow>,
     writer: &Writer,
@@ -159,22 +160,22 @@
 /// A change of one slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotChange {
-    /// The writer takes the slot over, under a new fencing token.
+    /// The writer becomes the slot's holder, under a new fencing token.
     Claim,
-    /// The engine said that the model is ready.
+    /// The engine reported that the model is ready.
     Ready(OwnOrders),
-    /// No new request is sent there; under a new fencing token.
+    /// The replica receives no new requests, under a new fencing token.
     Drain(OwnOrders),
-    /// A former holder says that none of its load orders is on its way any more.
+    /// A former holder declares that none of its load orders can still reach the engine.
     Settle,
 }
 
-/// Whether a load order of the writer may still be on its way to the engine.
+/// Whether a load order of the writer may still reach the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnOrders {
-    /// Every one was answered, or has been dropped with its connection.
+    /// Each order was answered or was dropped with its connection.
     Settled,
-    /// One was not answered and may still arrive.
+    /// An order was not answered and may still arrive.
     Unsettled,
 }
 
@@ -182,7 +183,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] if the row changed since it was read, or the slot is not there.
+/// [`Error::Conflict`] if the row changed since it was read, or has no slot on `target`.
 pub fn change_slot(
     table: &dyn Table,
     service: &ServiceName,
@@ -240,8 +241,8 @@
 
 /// Removes the slot on `target` and frees its memory, in one transaction.
 ///
-/// The caller must know that the engine does not have the model and can't get it by an order
-/// still under way.
+/// The caller must ensure that the engine does not have the model and that no pending order can
+/// still load it.
 ///
 /// # Errors
 ///
@@ -263,17 +264,17 @@
         memory.version,
         row::encode(&memory_row),
     );
-    let gone = |written: &Row| row::decode::<ReplicaRow>(written).is_ok_and(|w| w == row);
-    table::commit_settled(table, &txn, &key, gone)?;
+    let is_removed = |written: &Row| row::decode::<ReplicaRow>(written).is_ok_and(|w| w == row);
+    table::commit_settled(table, &txn, &key, is_removed)?;
     Ok(row)
 }
 
 fn commit(table: &dyn Table, txn: &Transaction, key: &str, token: &str) -> Result<()> {
-    let mine = |row: &Row| row::decode::<ReplicaRow>(row).is_ok_and(|r| r.has_token(token));
-    table::commit_settled(table, txn, key, mine)
+    let is_own = |row: &Row| row::decode::<ReplicaRow>(row).is_ok_and(|r| r.has_token(token));
+    table::commit_settled(table, txn, key, is_own)
 }
 
-/// Writes that this run of the daemon is the latest under its name.
+/// Registers a run of a daemon as the latest under the daemon's name.
 ///
 /// # Errors
 ///
@@ -283,7 +284,7 @@
     table.commit(&Transaction::default().set(key, Some(row::encode(row))))
 }
 
-/// Removes the row of a daemon that stops, unless a later run has replaced it.
+/// Removes the row of a stopping daemon, unless a later run has replaced it.
 ///
 /// # Errors
 ///
@@ -313,8 +314,8 @@
     Ok(daemons)
 }
 
-/// Tells whether an incarnation is known to have ended: a later run, or a clean stop, has
-/// replaced its row.
+/// Returns whether an incarnation has certainly ended: a later run has replaced its row, or a
+/// clean stop has removed it.
 ///
 /// # Errors
 ///
@@ -327,7 +328,7 @@
     Ok(current.incarnation != *incarnation)
 }
 
-/// Makes the incarnation of a run that starts now.
+/// Returns a new incarnation for a run of `daemon` that starts now.
 pub fn new_incarnation(daemon: &str) -> Incarnation {
     Incarnation::new(format!("{daemon}#{}", name::random_id()))
 }
--- a/crates/tansyknot-control/src/usage.rs
+++ b/crates/tansyknot-control/src/usage.rs
@@ -1,52 +1,54 @@
-//! When each service was last used, over all daemons, as its coordinator knows it.
+//! When each service was last used by any daemon, as far as its coordinator has been informed.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use tansyknot_core::{clock::Time, name::ServiceName};
 use tansyknot_policy::gaps::Gaps;
 
-/// A gap shorter than this is not idle time.
-const SHORTEST_GAP: Duration = Duration::from_secs(1);
+/// The shortest gap between two uses that counts as idle time.
+const MIN_IDLE_GAP: Duration = Duration::from_secs(1);
 
-/// The use of one service.
+/// The last use of one service and the idle gaps before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Use {
-    /// The last use that is known.
-    pub last: Time,
+pub struct UsageRecord {
+    /// The latest recorded use.
+    pub last_used: Time,
     /// The idle gaps before it.
     pub gaps: Gaps,
 }
 
-/// The use of every service that this daemon has heard of.
+/// The recorded use of every service.
 #[derive(Debug, Default)]
 pub struct Usage {
-    services: Mutex<HashMap<ServiceName, Use>>,
+    services: Mutex<HashMap<ServiceName, UsageRecord>>,
 }
 
 impl Usage {
-    /// Records a use at `at`, by this daemon or as a peer reported it.
+    /// Records a use at `at`, by this daemon or reported by a peer.
     pub fn record(&self, service: &ServiceName, at: Time) {
         let mut services = self.services.lock().expect("no holder of the lock panics");
         match services.get_mut(service) {
-            Some(known) => {
-                let gap = at.since(known.last);
-                if gap >= SHORTEST_GAP {
-                    known.gaps.record(gap);
+            Some(usage) => {
+                let gap = at.since(usage.last_used);
+                if gap >= MIN_IDLE_GAP {
+                    usage.gaps.record(gap);
                 }
-                known.last = known.last.max(at);
+                usage.last_used = usage.last_used.max(at);
             }
             None => {
-                let first = Use { last: at, gaps: Gaps::default() };
-                services.insert(service.clone(), first);
+                let new_record = UsageRecord { last_used: at, gaps: Gaps::default() };
+                services.insert(service.clone(), new_record);
             }
         }
     }
 
-    /// Returns the use of a service. One never heard of counts as used `now`: after a restart
-    /// nothing is removed on no knowledge.
-    pub fn get_or_begin(&self, service: &ServiceName, now: Time) -> Use {
+    /// Returns the use of a service.
+    ///
+    /// A service without a record counts as used `now`, so that a daemon that has just restarted
+    /// does not remove replicas whose use it has not seen.
+    pub fn get_or_insert(&self, service: &ServiceName, now: Time) -> UsageRecord {
         let mut services = self.services.lock().expect("no holder of the lock panics");
-        let begin = || Use { last: now, gaps: Gaps::default() };
-        services.entry(service.clone()).or_insert_with(begin).clone()
+        let new_record = || UsageRecord { last_used: now, gaps: Gaps::default() };
+        services.entry(service.clone()).or_insert_with(new_record).clone()
     }
 }
--- a/crates/tansyknot-control/tests/races.rs
+++ b/crates/tansyknot-control/tests/races.rs
@@ -1,4 +1,4 @@
-//! Two daemons between each other's read and write, and random interleavings of faults.
+//! Races between the reads and the write of two daemons, and random interleavings with faults.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use tansyknot_standins::fake::CommitFault;
 use yare::parameterized;
 
-/// One daemon has read the rows; before it commits, another does all of its step.
+/// A whole step of one daemon runs between another daemon's reads and its commit.
 #[parameterized(
     same_service_limit_one = { &[80, 80], "permit", "permit", Fencing::Checked },
     same_service_ignoring = { &[80, 80], "permit", "permit", Fencing::Ignored },
@@ -34,7 +34,7 @@
     let _ = fast.request(&world, second);
     let inner = Arc::clone(&fast);
     slow.table.set_before_commit(Box::new(move || inner.step(second).expect("the table is up")));
-    slow.step(first).expect("a lost race is no failure");
+    slow.step(first).expect("a conflict is no failure");
     world.engines.finish_loads();
     let reserved = world.slot_states("permit").len() + world.slot_states("summary").len();
     assert_eq!(reserved, 1);
@@ -54,16 +54,16 @@
     Request(usize),
     Release(usize),
     Step(usize),
-    /// The second daemon steps between the reads and the write of the first.
+    /// The second daemon steps between the reads and the commit of the first.
     StepAround(usize, usize),
     Advance(u64),
     FinishLoads,
-    Hold(bool),
-    Deliver,
-    Down(usize, bool),
-    Commit(usize, CommitFault),
+    HoldLoads(bool),
+    DeliverHeldLoads,
+    SetTableDown(usize, bool),
+    ScriptCommitFault(usize, CommitFault),
     LoseReplies(bool),
-    Silent(usize, bool),
+    SetUnresponsive(usize, bool),
     Restart(usize),
 }
 
@@ -82,12 +82,12 @@
         4 => (daemon.clone(), daemon.clone()).prop_map(|(a, b)| Op::StepAround(a, b)),
         6 => (100_u64..15_000).prop_map(Op::Advance),
         4 => Just(Op::FinishLoads),
-        2 => any::<bool>().prop_map(Op::Hold),
-        2 => Just(Op::Deliver),
-        1 => (daemon.clone(), any::<bool>()).prop_map(|(d, b)| Op::Down(d, b)),
-        3 => (daemon.clone(), fault).prop_map(|(d, f)| Op::Commit(d, f)),
+        2 => any::<bool>().prop_map(Op::HoldLoads),
+        2 => Just(Op::DeliverHeldLoads),
+        1 => (daemon.clone(), any::<bool>()).prop_map(|(d, b)| Op::SetTableDown(d, b)),
+        3 => (daemon.clone(), fault).prop_map(|(d, f)| Op::ScriptCommitFault(d, f)),
         1 => any::<bool>().prop_map(Op::LoseReplies),
-        1 => (engine, any::<bool>()).prop_map(|(e, b)| Op::Silent(e, b)),
+        1 => (engine, any::<bool>()).prop_map(|(e, b)| Op::SetUnresponsive(e, b)),
         1 => daemon.prop_map(Op::Restart),
     ]
 }
@@ -95,10 +95,10 @@
 const DAEMONS: usize = 3;
 const ENGINES: usize = 3;
 const SERVICE: &str = "permit";
-/// As docs/PROMISES.md states it for engines that ignore fencing tokens.
+/// The order lifetime that docs/PROMISES.md states for engines that ignore fencing tokens.
 const ORDER_LIFETIME: Duration = Duration::from_secs(60);
 
-fn act(world: &World, daemons: &mut [Arc<Daemon>], op: &Op) {
+fn apply_op(world: &World, daemons: &mut [Arc<Daemon>], op: &Op) {
     match op {
         Op::Request(d) => drop(daemons[*d].request(world, SERVICE)),
         Op::Release(d) => {
@@ -114,25 +114,27 @@
                 daemons[*a].table.set_before_commit(Box::new(move || drop(inner.step(SERVICE))));
             }
             drop(daemons[*a].step(SERVICE));
-            // Without this, a step that wrote nothing would leave the other one's for later.
+            // If the step committed nothing, the other daemon's step must not run at a later
+            // commit.
             daemons[*a].table.clear_before_commit();
         }
         Op::Advance(ms) => {
             world.advance(*ms);
-            // These daemons are not frozen: an order that its engine has not read within the
-            // lifetime is gone with its connection. A frozen sender has a test of its own.
+            // These daemons are not frozen, so an order that its engine has not read within the
+            // lifetime is dropped with its connection. Another test covers a frozen sender.
             world.engines.drop_old_orders(ORDER_LIFETIME);
         }
         Op::FinishLoads => world.engines.finish_loads(),
-        Op::Hold(hold) => world.engines.hold_loads(*hold),
-        Op::Deliver => drop(world.engines.deliver_held()),
-        Op::Down(d, down) => daemons[*d].table.set_down(*down),
-        Op::Commit(d, fault) => daemons[*d].table.script([*fault]),
+        Op::HoldLoads(hold) => world.engines.hold_loads(*hold),
+        Op::DeliverHeldLoads => drop(world.engines.deliver_held()),
+        Op::SetTableDown(d, down) => daemons[*d].table.set_down(*down),
+        Op::ScriptCommitFault(d, fault) => daemons[*d].table.script([*fault]),
         Op::LoseReplies(lose) => world.engines.lose_replies(*lose),
-        Op::Silent(e, silent) => {
-            world.engines.set_silent(&TargetName::new(format!("e{e}")), *silent);
+        Op::SetUnresponsive(e, is_unresponsive) => {
+            world.engines.set_silent(&TargetName::new(format!("e{e}")), *is_unresponsive);
         }
-        // The process ends; an order that it had sent has arrived or is lost with it.
+        // The process ends. Held load orders are delivered first, as an order of an ended process
+        // can't arrive later.
         Op::Restart(d) => {
             world.engines.deliver_held();
             daemons[*d] = Arc::new(world.daemon(&format!("d{d}")));
@@ -140,7 +142,7 @@
     }
 }
 
-/// A replica that an engine has but that no row counts could never be found again.
+/// Returns whether each loaded model has a slot; without one, no daemon would ever unload it.
 fn every_loaded_model_has_a_slot(world: &World) -> bool {
     let service = ServiceName::from(SERVICE);
     let row = tansyknot_control::replicas::read_replicas(&world.table, &service).expect("up").row;
@@ -150,13 +152,13 @@
     })
 }
 
-fn never_over(ops: &[Op], limit: u32, fencing: Fencing) -> Result<(), TestCaseError> {
+fn check_limits(ops: &[Op], limit: u32, fencing: Fencing) -> Result<(), TestCaseError> {
     let world = World::new(&[20; ENGINES], fencing);
     world.apply(limit);
     let mut daemons: Vec<Arc<Daemon>> =
         (0..DAEMONS).map(|d| Arc::new(world.daemon(&format!("d{d}")))).collect();
     for op in ops {
-        act(&world, &mut daemons, op);
+        apply_op(&world, &mut daemons, op);
         prop_assert!(every_loaded_model_has_a_slot(&world), "after {op:?}");
         let observed = world.engines.observed();
         prop_assert!(observed.replicas.values().all(|n| *n <= limit as usize), "after {op:?}");
@@ -179,7 +181,7 @@
         ops in prop::collection::vec(op(), 1..120),
         limit in 1_u32..3,
     ) {
-        never_over(&ops, limit, Fencing::Checked)?;
+        check_limits(&ops, limit, Fencing::Checked)?;
     }
 
     #[test]
@@ -187,12 +189,14 @@
         ops in prop::collection::vec(op(), 1..120),
         limit in 1_u32..3,
     ) {
-        never_over(&ops, limit, Fencing::Ignored)?;
+        check_limits(&ops, limit, Fencing::Ignored)?;
     }
 }
 
-/// Found by the properties: the order of a former holder was forgotten with its claim, and its
-/// word that the model is ready took its name off the slot although an order was on its way.
+/// Guards against a second replica through an unanswered order of a former holder.
+///
+/// If the order is dropped together with the claim, the former holder removes itself from the
+/// slot's `ordering` when the model is ready, although its order may still reach the engine.
 #[test]
 fn unanswered_order_is_remembered_after_the_slot_went_to_another() {
     let ops = [
@@ -202,18 +206,18 @@
         Op::Advance(45_792),
         Op::LoseReplies(true),
         Op::Step(2),
-        Op::Hold(true),
+        Op::HoldLoads(true),
         Op::Step(0),
         Op::LoseReplies(false),
         Op::FinishLoads,
         Op::StepAround(2, 0),
-        Op::Hold(false),
+        Op::HoldLoads(false),
         Op::Step(2),
         Op::Advance(14_208),
         Op::StepAround(0, 2),
         Op::Advance(1000),
         Op::Step(2),
-        Op::Deliver,
+        Op::DeliverHeldLoads,
     ];
-    never_over(&ops, 1, Fencing::Ignored).expect("the limit holds");
+    check_limits(&ops, 1, Fencing::Ignored).expect("the limit holds");
 }
--- a/crates/tansyknot-control/tests/replicas.rs
+++ b/crates/tansyknot-control/tests/replicas.rs
@@ -1,4 +1,5 @@
-//! Replicas never over the limit, memory never overcommitted: bursts, races and faults.
+//! Replicas never exceed the limit and memory is never overcommitted under bursts, races and
+//! faults.
 
 mod support;
 
@@ -15,7 +16,7 @@
 
 use crate::support::OBJECTS;
 
-fn most(world: &World, service: &str) -> usize {
+fn max_loaded(world: &World, service: &str) -> usize {
     world.engines.observed().replicas.get(&ServiceName::from(service)).copied().unwrap_or(0)
 }
 
@@ -50,8 +51,8 @@
         }
     }
     run(&world, &daemons, "permit", 12);
-    assert!(most(&world, "permit") >= 1);
-    assert!(most(&world, "permit") <= limit as usize);
+    assert!(max_loaded(&world, "permit") >= 1);
+    assert!(max_loaded(&world, "permit") <= limit as usize);
     assert_eq!(world.slot_states("permit")[0], SlotState::Ready);
 }
 
@@ -73,7 +74,7 @@
             let _ = daemon.request(&world, "permit");
         }
         run(&world, &daemons, "permit", 40);
-        assert_eq!(most(&world, "permit"), 1);
+        assert_eq!(max_loaded(&world, "permit"), 1);
         assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
     }
 }
@@ -84,10 +85,10 @@
     world.apply(1);
     let daemon = world.daemon("d0");
     let _ = daemon.request(&world, "permit");
-    // The daemon still has the limit of one in force when the operators allow none.
+    // The daemon's configuration still has a limit of 1 after the operators have lowered it to 0.
     world.apply(0);
     let _ = daemon.step("permit");
-    assert_eq!(most(&world, "permit"), 0);
+    assert_eq!(max_loaded(&world, "permit"), 0);
     assert_eq!(world.slot_states("permit"), []);
 }
 
@@ -128,7 +129,7 @@
         .map(|t| world.engines.models(&TargetName::from(t)).peaks().refused_loads)
         .iter()
         .sum();
-    assert_eq!(refused, 0, "a load was ordered for which there was no memory");
+    assert_eq!(refused, 0, "a load was ordered at an engine without enough memory");
 }
 
 #[parameterized(checked = { Fencing::Checked }, ignored = { Fencing::Ignored })]
@@ -161,12 +162,12 @@
     let daemons = [world.daemon("d1")];
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 40);
-    assert_eq!(most(&world, "permit"), 1);
+    assert_eq!(max_loaded(&world, "permit"), 1);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
 }
 
-/// A holder is frozen while its load order is on its way; another takes over, and the slot is
-/// given up; then the order arrives.
+/// A holder freezes while its load order is in transit. Another daemon takes the slot over and
+/// drains it, and then the order arrives.
 #[parameterized(
     checked = { Fencing::Checked, true },
     ignored = { Fencing::Ignored, false },
@@ -184,7 +185,7 @@
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 40);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
-    // Nobody asks any more: the slot is drained and given up if that is safe.
+    // Without demand the slot is drained, and removed if that is safe.
     daemons[0].pools.refuse_waiting(
         &ServiceName::from("permit"),
         &tansyknot_core::refusal::Refusal::not_run(
@@ -199,14 +200,14 @@
     let slots = world.slot_states("permit");
     assert_eq!(slots.is_empty(), freed, "{slots:?}");
 
-    // The frozen holder wakes and its order arrives at last.
+    // The frozen holder resumes and its order arrives.
     world.engines.deliver_held();
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 20);
-    assert_eq!(most(&world, "permit"), 1);
+    assert_eq!(max_loaded(&world, "permit"), 1);
 }
 
-/// Ends the requests that the pool counts as in flight.
+/// Releases all requests that the pool counts as in flight.
 fn release_all(daemon: &Daemon, service: &str) {
     let service = ServiceName::from(service);
     for i in 0..8 {
@@ -229,7 +230,7 @@
     let daemons = [world.daemon("d1")];
     run(&world, &daemons, "permit", 60);
     assert_eq!(world.slot_states("permit"), [SlotState::Draining]);
-    // A new run under the same name proves that the old one has ended.
+    // A new run under the same name shows that the old one has ended.
     let _restarted = world.daemon("d0");
     run(&world, &daemons, "permit", 60);
     assert_eq!(world.slot_states("permit"), []);
@@ -250,7 +251,8 @@
         tansyknot_control::replicas::read_replicas(&w.table, &service).expect("up").row
     };
     let before = row(&world).last_fence;
-    // The daemon was paused past its claim: it must claim anew before it orders anew.
+    // The daemon was paused until after its claim expired: it must claim the slot again before it
+    // sends another order.
     world.advance(11_000);
     world.engines.lose_replies(false);
     daemon.step("permit").expect("the table is up");
@@ -346,7 +348,7 @@
     assert!(!daemons[0].pools.demand(&service).has_upstream);
 }
 
-/// The holder is not frozen, but its load order stays on its way while the slot is given up.
+/// The holder is not frozen, but its load order is still in transit while it drains the slot.
 #[parameterized(checked = { Fencing::Checked }, ignored = { Fencing::Ignored })]
 fn unanswered_order_of_the_same_holder_never_makes_a_lost_replica(fencing: Fencing) {
     let world = World::new(&[80], fencing);
@@ -358,7 +360,8 @@
     world.engines.hold_loads(false);
     world.hosts.state.mark(&TargetName::from("e0"), Some(HostState::Leaving));
     run(&world, &daemons, "permit", 8);
-    // An engine that checks refuses the old order; from one that does not, the slot is kept.
+    // An engine that checks fencing tokens refuses the old order; for one that ignores them, the
+    // slot is retained.
     world.engines.deliver_held();
     let loaded = world.engines.loaded(&ServiceName::from("permit"));
     assert_eq!(loaded, world.slot_states("permit").len().min(loaded));
@@ -368,7 +371,7 @@
 }
 
 #[parameterized(checked = { Fencing::Checked }, ignored = { Fencing::Ignored })]
-fn replica_with_a_request_in_flight_is_not_ordered_away(fencing: Fencing) {
+fn replica_with_a_request_in_flight_is_not_unloaded(fencing: Fencing) {
     let world = World::new(&[80], fencing);
     world.apply(1);
     let daemons = [world.daemon("d0")];
@@ -385,7 +388,7 @@
     assert_eq!(world.slot_states("permit"), []);
 }
 
-/// Found by a daemon that was asked in its first milliseconds.
+/// A daemon may receive a request in its first milliseconds, before it has read the list of hosts.
 #[test]
 fn request_before_the_list_has_been_read_waits_instead_of_being_refused() {
     let world = World::new(&[80], Fencing::Checked);
@@ -413,8 +416,9 @@
     assert_eq!(loads("e0") + loads("e1"), 1);
 }
 
-/// Found by bursts while a checkpoint was being staged: the replica went right after its first
-/// answers, as it was still taken for one that nobody uses.
+/// Guards against the removal of a staged replica right after its first responses.
+///
+/// Requests that arrive while the checkpoint is being staged must count as use of the replica.
 #[test]
 fn staged_replica_that_is_used_stays_like_any_other() {
     let world = World::new(&[80], Fencing::Checked);
@@ -424,12 +428,13 @@
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 5);
     release_all(&daemons[0], "permit");
-    // Past the least retention, well before the break-even span of an unknown service.
+    // Past the minimum retention, but well before the break-even time of a service without history.
     run(&world, &daemons, "permit", 40);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
 }
 
-/// Found by reading: requests waited to near their deadline for a replica that may not be.
+/// Guards against requests that wait until shortly before their deadline for a replica that can't
+/// be loaded.
 #[parameterized(
     no_replica_allowed = { &[80], 0, Reason::NoCapacity },
     no_memory_anywhere = { &[8, 8], 1, Reason::NoCapacity },
@@ -444,11 +449,13 @@
     world.apply(max);
     let daemon = world.daemon("d0");
     let Acquired::Queued(_, rx) = daemon.request(&world, "permit") else {
-        panic!("the pool does not know yet");
+        panic!("the pool must queue the request");
     };
     daemon.step("permit").expect("the table is up");
     let signal = daemon.pools.wait(&rx, std::time::Duration::ZERO);
-    let Some(Signal::Refused(refusal)) = signal else { panic!("still waiting: {signal:?}") };
+    let Some(Signal::Refused(refusal)) = signal else {
+        panic!("the request was not refused: {signal:?}")
+    };
     assert_eq!(refusal.reason, reason);
     assert!(refusal.retry_after.is_some());
 }
@@ -459,11 +466,13 @@
     world.apply(1);
     let daemon = world.daemon("d0");
     let Acquired::Queued(_, rx) = daemon.request(&world, "permit") else {
-        panic!("nothing is loaded");
+        panic!("the pool must queue the request");
     };
     daemon.table.set_down(true);
     assert!(daemon.step("permit").is_err());
     let signal = daemon.pools.wait(&rx, std::time::Duration::ZERO);
-    let Some(Signal::Refused(refusal)) = signal else { panic!("still waiting: {signal:?}") };
+    let Some(Signal::Refused(refusal)) = signal else {
+        panic!("the request was not refused: {signal:?}")
+    };
     assert_eq!(refusal.reason, Reason::StoreUnavailable);
 }
--- a/crates/tansyknot-control/tests/rows.rs
+++ b/crates/tansyknot-control/tests/rows.rs
@@ -1,6 +1,6 @@
-//! The contract of reservations on the rows alone.
+//! Reservations: the checks and the transactions on replica and memory rows.
 
-use tansyknot_control::replicas::{self, Reserve, Unreserved, Versioned, Writer};
+use tansyknot_control::replicas::{self, ReserveError, ReserveRequest, Versioned, Writer};
 use tansyknot_core::{
     Error,
     name::{Incarnation, ServiceName, TargetName},
@@ -38,22 +38,22 @@
     empty = { &[], &[], 0, 1, Ok(()) },
     fits_exactly = { &[], &[50, 40], 0, 1, Ok(()) },
     below_the_limit = { &["other"], &[], 0, 2, Ok(()) },
-    at_the_limit = { &["other"], &[], 0, 1, Err(Unreserved::AtLimit) },
-    limit_of_zero = { &[], &[], 0, 0, Err(Unreserved::AtLimit) },
-    same_target = { &["here"], &[], 0, 2, Err(Unreserved::AlreadyThere) },
-    one_byte_short = { &[], &[50, 41], 0, 1, Err(Unreserved::NoRoom) },
-    unexplained_use = { &[], &[50], 41, 1, Err(Unreserved::NoRoom) },
-    overflow = { &[], &[u64::MAX], 1, 1, Err(Unreserved::NoRoom) },
+    at_the_limit = { &["other"], &[], 0, 1, Err(ReserveError::AtLimit) },
+    limit_of_zero = { &[], &[], 0, 0, Err(ReserveError::AtLimit) },
+    same_target = { &["here"], &[], 0, 2, Err(ReserveError::AlreadyPlaced) },
+    one_byte_short = { &[], &[50, 41], 0, 1, Err(ReserveError::NoRoom) },
+    unexplained_use = { &[], &[50], 41, 1, Err(ReserveError::NoRoom) },
+    overflow = { &[], &[u64::MAX], 1, 1, Err(ReserveError::NoRoom) },
 )]
 fn reservation_is_checked(
     slots: &[&str],
     memory: &[u64],
     unexplained_bytes: u64,
     limit: u32,
-    expected: Result<(), Unreserved>,
+    expected: Result<(), ReserveError>,
 ) {
     let (service, target) = (ServiceName::from("s"), TargetName::from("here"));
-    let reserve = Reserve {
+    let reserve = ReserveRequest {
         service: &service,
         target: &target,
         memory_bytes: 10,
@@ -73,7 +73,7 @@
 fn reservation_conflicts_if_a_row_changed_since_it_was_read(replica: bool, memory: bool) {
     let table = FakeTable::default();
     let (service, target) = (ServiceName::from("s"), TargetName::from("here"));
-    let reserve = Reserve {
+    let reserve = ReserveRequest {
         service: &service,
         target: &target,
         memory_bytes: 10,
@@ -107,7 +107,7 @@
     for _ in 0..3 {
         let row = replicas::read_replicas(&table, &service).expect("up");
         let memory = replicas::read_memory(&table, &target).expect("up");
-        let reserve = Reserve {
+        let reserve = ReserveRequest {
             service: &service,
             target: &target,
             memory_bytes: 10,
--- a/crates/tansyknot-control/tests/support/mod.rs
+++ b/crates/tansyknot-control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small world for tests of the control loop: rows, engines, hosts, a clock that stands still.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Test support for the control loop: a fake table, engines and list of hosts with a manual clock.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,7 +30,7 @@
 
 pub(crate) const GB: u64 = 1_000_000_000;
 
-/// Two services of 16 GB each and a rule with room for `MAX` replicas.
+/// Two services with models of 16 GB and a rule that allows `MAX` replicas.
 pub(crate) const OBJECTS: &str = "
 kind: service
 name: permit
@@ -68,7 +68,7 @@
 }
 
 impl World {
-    /// Makes engines with the given memory each, named `e0`, `e1`, ….
+    /// Creates one engine with each given memory size, named `e0`, `e1`, ….
     pub(crate) fn new(memory_gb: &[u64], fencing: Fencing) -> Self {
         let world = Self {
             table: FakeTable::default(),
@@ -87,27 +87,28 @@
         world
     }
 
-    /// Applies the usual objects with this limit on replicas.
+    /// Applies [`OBJECTS`] with `max` as the limit on replicas.
     pub(crate) fn apply(&self, max: u32) -> u64 {
         self.apply_text(&OBJECTS.replace("MAX", &max.to_string()))
     }
 
     pub(crate) fn apply_text(&self, text: &str) -> u64 {
-        let objects = document::read(text, "test").expect("the test's objects are right");
+        let objects = document::read(text, "test").expect("the test's objects are valid");
         let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
         let table = self.table.another_path();
         let (head, _) = config::read_head(&table).expect("the table is up");
         let author = Author { name: "test".to_owned(), at_ms: 0 };
-        config::apply(&table, head.version, &ops, &author).expect("nobody races")
+        config::apply(&table, head.version, &ops, &author).expect("no other change was accepted")
     }
 
-    /// Starts a daemon that has read the configuration and the list.
+    /// Starts a daemon that has read the configuration and the list of hosts.
     pub(crate) fn daemon(&self, name: &str) -> Daemon {
         let daemon = self.unread_daemon(name);
         daemon.observe(self);
         daemon
     }
 
+    /// Starts a daemon that has read neither the configuration nor the list of hosts.
     pub(crate) fn unread_daemon(&self, name: &str) -> Daemon {
         let table = self.table.another_path();
         let clock: Arc<dyn Clock> = Arc::new(self.clock.clone());
@@ -170,7 +171,7 @@
         self.publisher.publish_all();
     }
 
-    /// Lets a request wait for the service.
+    /// Requests a target for `service` with a deadline in 60 s.
     pub(crate) fn request(&self, world: &World, service: &str) -> Acquired {
         let service = ServiceName::from(service);
         let deadline = world.clock.now() + Duration::from_secs(60);
