--- a/crates/tansyknot-control/src/reconcile/slot.rs
+++ b/crates/tansyknot-control/src/reconcile/slot.rs
@@ -370,7 +370,7 @@
             if *incarnation == self.parts.incarnation {
                 continue;
             }
-            if !replicas::is_gone(self.parts.table.as_ref(), incarnation)? {
+            if !replicas::has_ended(self.parts.table.as_ref(), incarnation)? {
                 return Ok(true);
             }
         }
--- a/crates/tansyknot-control/src/replicas.rs
+++ b/crates/tansyknot-control/src/replicas.rs
@@ -320,7 +320,7 @@
 /// # Errors
 ///
 /// Fails if the table does; the incarnation then counts as running.
-pub fn is_gone(table: &dyn Table, incarnation: &Incarnation) -> Result<bool> {
+pub fn has_ended(table: &dyn Table, incarnation: &Incarnation) -> Result<bool> {
     let daemon = incarnation.as_str().split('#').next().unwrap_or_default();
     let key = format!("{}{daemon}", replica::DAEMON_PREFIX);
     let Some(row) = table.read(&key)? else { return Ok(true) };
