--- a/crates/tansyknot-policy/examples/plot.rs
+++ b/crates/tansyknot-policy/examples/plot.rs
@@ -1,4 +1,4 @@
-//! Plots idle accelerator hours against the first-request tail of each policy.
+//! Plots the p99 latency of first requests over idle accelerator hours for each policy.
 //!
 //! `cargo run --release --example plot -- bench/results/replay.jsonl docs/frontier.svg`
 
@@ -11,9 +11,9 @@
 
 #[derive(Parser)]
 struct Args {
-    /// Output lines of the replay.
+    /// The replay's output, one JSON object per line.
     input: PathBuf,
-    /// The picture.
+    /// The SVG file to write.
     output: PathBuf,
 }
 
@@ -35,7 +35,7 @@
     RGBColor(30, 150, 90),
 ];
 
-/// Points by the name in the legend.
+/// The points of each series by its name in the legend.
 type Series = BTreeMap<String, Vec<(f64, f64)>>;
 
 fn read(args: &Args) -> miette::Result<Series> {
@@ -43,12 +43,12 @@
     let mut series = Series::new();
     for line in text.lines() {
         let line: Line = serde_json::from_str(line).into_diagnostic()?;
-        let ours = line.policy == "tansyknot";
-        if !ours && line.weight == "idle" {
-            // The baselines know no weight; their two runs are the same.
+        let is_tansyknot = line.policy == "tansyknot";
+        if !is_tansyknot && line.weight == "idle" {
+            // The baselines ignore the weight; their two runs are identical.
             continue;
         }
-        let name = if ours { format!("tansyknot, {}", line.weight) } else { line.policy };
+        let name = if is_tansyknot { format!("tansyknot, {}", line.weight) } else { line.policy };
         let point = (line.idle_accelerator_hours, line.first_request_p99_ms / 1000.0);
         series.entry(name).or_default().push(point);
     }
@@ -83,5 +83,5 @@
 fn main() -> miette::Result<()> {
     let args = Args::parse();
     let series = read(&args)?;
-    draw(&series, &args).map_err(|e| miette::miette!("the plot can't be drawn: {e}"))
+    draw(&series, &args).map_err(|e| miette::miette!("failed to draw the plot: {e}"))
 }
--- a/crates/tansyknot-policy/examples/replay/main.rs
+++ b/crates/tansyknot-policy/examples/replay/main.rs
@@ -1,4 +1,4 @@
-//! Replays an arrival trace through the daemon's decisions in virtual time.
+//! Replays an arrival trace through the daemon's decision functions in virtual time.
 //!
 //! `cargo run --release --example replay -- --trace FILE.csv --policy tansyknot`
 
@@ -13,48 +13,48 @@
 
 use crate::{
     policy::Policy,
-    world::{World, WorldOptions},
+    world::{Simulation, SimulationOptions},
 };
 
-/// What the operators weigh more.
+/// The cost that the operators weigh more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Weight {
-    /// Short cold-start tails.
+    /// The tail latency of cold starts.
     Cold,
-    /// Few idle accelerator hours.
+    /// Idle accelerator hours.
     Idle,
 }
 
 #[derive(Parser)]
 struct Args {
-    /// The trace: at_ms,caller,service,adapter,prompt_tokens,output_tokens,class,deadline_ms.
+    /// CSV file of the trace: at_ms,caller,service,adapter,prompt_tokens,output_tokens,class,deadline_ms.
     #[arg(long, required_unless_present = "list")]
     trace: Option<PathBuf>,
-    /// A policy; may be given several times.
+    /// Name of a policy to replay; may be repeated.
     #[arg(long)]
     policy: Vec<String>,
-    /// Name the policies and exit.
+    /// Print the names of the policies and exit.
     #[arg(long)]
     list: bool,
-    /// Hosts.
+    /// Number of hosts.
     #[arg(long, default_value_t = 10)]
     hosts: usize,
-    /// Memory of a host for models, in GB.
+    /// Memory for models of each host, in GB.
     #[arg(long, default_value_t = 80)]
     memory_gb: u64,
-    /// Memory of a model, in GB.
+    /// Memory of each model, in GB.
     #[arg(long, default_value_t = 16)]
     model_gb: u64,
-    /// Loads that the weight store starts in a second.
+    /// Loads that the weight store starts per second.
     #[arg(long, default_value_t = 3.0)]
     loads_per_s: f64,
-    /// The seed of random choices.
+    /// Seed of the random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// What the operators weigh more.
+    /// The cost that the operators weigh more.
     #[arg(long, value_enum, default_value_t = Weight::Cold)]
     weight: Weight,
-    /// Replicas of a model at most.
+    /// Maximum number of replicas of a model.
     #[arg(long, default_value_t = 2)]
     replicas: u32,
 }
@@ -70,7 +70,7 @@
     let names = if args.policy.is_empty() { vec!["tansyknot".to_owned()] } else { args.policy };
     for name in names {
         let policy = Policy::by_name(&name)?;
-        let options = WorldOptions {
+        let options = SimulationOptions {
             hosts: args.hosts,
             memory_bytes: args.memory_gb * 1_000_000_000,
             model_bytes: args.model_gb * 1_000_000_000,
@@ -79,7 +79,7 @@
             weight: args.weight,
             replicas: args.replicas,
         };
-        let report = World::new(&requests, policy, options).run(&name);
+        let report = Simulation::new(&requests, policy, options).run(&name);
         println!("{}", serde_json::to_string(&report).expect("the report serializes"));
     }
     Ok(())
--- a/crates/tansyknot-policy/examples/replay/report.rs
+++ b/crates/tansyknot-policy/examples/replay/report.rs
@@ -1,8 +1,8 @@
-//! The figures of one run.
+//! The results of one replay run.
 
 use serde::Serialize;
 
-/// One line of output.
+/// The results of one run, written as one JSON line.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Report {
     pub(crate) policy: String,
@@ -19,9 +19,9 @@
     pub(crate) busy_accelerator_hours: f64,
     pub(crate) replica_limit_violations: u64,
     pub(crate) memory_violations: u64,
-    /// Loads made ahead of a use; not part of `cold_starts`.
+    /// Loads that no waiting request caused; not counted in `cold_starts`.
     pub(crate) prewarms: u64,
-    /// Over requests that came a minute or more after the last one for their service.
+    /// The p99 over requests that arrived at least a minute after the last use of their service.
     pub(crate) first_request_p99_ms: f64,
 }
 
--- a/crates/tansyknot-policy/examples/replay/trace.rs
+++ b/crates/tansyknot-policy/examples/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Reading a trace.
+//! Reads arrival traces.
 
 use std::path::Path;
 
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Class {
-    /// Someone waits.
+    /// A person waits for the response.
     Desk,
-    /// The answer may come much later.
+    /// The response may arrive much later.
     Batch,
 }
 
@@ -19,38 +19,38 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Request {
-    /// When it arrives, in ms.
+    /// Arrival time, in ms from the start of the trace.
     pub(crate) at_ms: u64,
-    /// Who asks.
+    /// The caller.
     #[serde(rename = "caller")]
     pub(crate) _caller: String,
-    /// What is asked.
+    /// The requested service.
     pub(crate) service: String,
-    /// The adapter, or nothing.
+    /// The adapter; empty for none.
     pub(crate) adapter: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub(crate) prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of tokens in the response.
     pub(crate) output_tokens: u32,
     /// The class.
     pub(crate) class: Class,
-    /// The deadline after the arrival, in ms.
+    /// Time from the arrival to the deadline, in ms.
     pub(crate) deadline_ms: u64,
 }
 
-/// Reads a trace in the order of arrival.
+/// Reads a trace and sorts its requests by arrival.
 pub(crate) fn read(file: &Path) -> miette::Result<Vec<Request>> {
     let name = file.display();
     let mut reader = csv::Reader::from_path(file)
         .into_diagnostic()
-        .wrap_err_with(|| format!("{name} can't be read"))?;
+        .wrap_err_with(|| format!("failed to read {name}"))?;
     let mut requests = Vec::new();
     for (at, row) in reader.deserialize().enumerate() {
         // The header is line 1.
         let line = at + 2;
         let request: Request = row.map_err(|e| miette!("{name}:{line}: {e}"))?;
         if request.service.is_empty() {
-            return Err(miette!("{name}:{line}: the service is empty"));
+            return Err(miette!("{name}:{line}: the service name is empty"));
         }
         requests.push(request);
     }
--- a/crates/tansyknot-policy/examples/replay/world.rs
+++ b/crates/tansyknot-policy/examples/replay/world.rs
@@ -1,4 +1,4 @@
-//! Hosts, loads and requests in virtual time, decided by the daemon's own functions.
+//! Simulation of hosts, loads and requests in virtual time, with the daemon's decision functions.
 
 mod loads;
 
@@ -31,25 +31,25 @@
 };
 
 const ZONES: usize = 3;
-/// Requests that one replica serves at once.
-const PER_REPLICA: u32 = 8;
+/// Requests that one replica serves concurrently.
+const MAX_IN_FLIGHT_PER_REPLICA: u32 = 8;
 const FIRST_TOKEN_BASE_US: u64 = 50_000;
 const PROMPT_TOKEN_US: u64 = 200;
 const OUTPUT_TOKEN_US: u64 = 30_000;
-const ADAPTER_US: u64 = 200_000;
-const ADAPTERS: usize = 8;
-/// An unused replica stays at most this long, as by default in a rule.
-const AT_MOST: Duration = Duration::from_secs(3600);
-/// An unused replica stays at least this long.
-const AT_LEAST: Duration = Duration::from_secs(10);
-/// A gap shorter than this is not idle time, as in the daemon.
-const SHORTEST_GAP_US: u64 = 1_000_000;
-/// A request is a first one if its service had none for this long.
-const FIRST_REQUEST_US: u64 = 60_000_000;
-
-/// Options of a run.
+const ADAPTER_LOAD_US: u64 = 200_000;
+const MAX_ADAPTERS: usize = 8;
+/// Maximum retention of an unused replica, the default of a rule.
+const MAX_KEEP: Duration = Duration::from_secs(3600);
+/// Minimum retention of an unused replica.
+const MIN_KEEP: Duration = Duration::from_secs(10);
+/// Shorter gaps are not recorded as idle time, as in the daemon.
+const MIN_GAP_US: u64 = 1_000_000;
+/// A request is a first request if its service was unused for at least this long.
+const FIRST_REQUEST_GAP_US: u64 = 60_000_000;
+
+/// Options of a simulation run.
 #[derive(Clone, Copy)]
-pub(crate) struct WorldOptions {
+pub(crate) struct SimulationOptions {
     pub(crate) hosts: usize,
     pub(crate) memory_bytes: u64,
     pub(crate) model_bytes: u64,
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// Time to bring checkpoints near, from this service on.
+    /// Stages the checkpoint of this service or continues with the next one.
     Stage {
         service: usize,
     },
@@ -76,8 +76,8 @@
     Arrive {
         request: usize,
     },
-    /// Time to look whether a service is to be loaded, removed, or its waiters given up.
-    Look {
+    /// Checks whether the service needs a load or a removal and refuses expired waiting requests.
+    Check {
         service: usize,
     },
 }
@@ -93,12 +93,12 @@
 struct Replica {
     host: usize,
     ready: bool,
-    began_us: u64,
-    busy: u32,
+    load_started_us: u64,
+    active_requests: u32,
     busy_since_us: u64,
     busy_us: u64,
     adapters: Vec<String>,
-    /// When the replica last stopped being busy.
+    /// When the replica last became idle.
     idle_since_us: u64,
 }
 
@@ -109,13 +109,13 @@
     last_use_us: Option<u64>,
     waiting: HashMap<Ticket, usize>,
     load_us: u64,
-    /// Requests that came while no replica was ready.
-    next_look_us: Option<u64>,
+    /// Time of the next scheduled check.
+    next_check_us: Option<u64>,
 }
 
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     requests: &'a [Request],
-    options: WorldOptions,
+    options: SimulationOptions,
     policy: Policy,
     names: Vec<&'a str>,
     ids: BTreeMap<&'a str, usize>,
@@ -133,8 +133,9 @@
     first_request_ms: Vec<f64>,
     is_cold: Vec<bool>,
     is_first: Vec<bool>,
-    /// Loads that a waiting request caused may be in flight for these.
-    room_wanted: Vec<usize>,
+    /// Services with waiting requests for which no host had enough memory; they are checked again
+    /// when a request finishes.
+    lacking_memory: Vec<usize>,
 }
 
 fn zone(host: usize) -> ZoneName {
@@ -145,12 +146,12 @@
     TargetName::new(format!("h{host}"))
 }
 
-fn host_of(target: &TargetName) -> usize {
-    target.as_str()[1..].parse().expect("targets are made by `target`")
+fn host_index(target: &TargetName) -> usize {
+    target.as_str()[1..].parse().expect("target names come from `target`")
 }
 
-impl<'a> World<'a> {
-    pub(crate) fn new(requests: &'a [Request], policy: Policy, options: WorldOptions) -> Self {
+impl<'a> Simulation<'a> {
+    pub(crate) fn new(requests: &'a [Request], policy: Policy, options: SimulationOptions) -> Self {
         let mut ids = BTreeMap::new();
         let mut names = Vec::new();
         for request in requests {
@@ -159,8 +160,11 @@
                 names.len() - 1
             });
         }
-        let pool_options =
-            PoolOptions { availability_zone: zone(0), per_upstream: PER_REPLICA, waiting_max: 512 };
+        let pool_options = PoolOptions {
+            availability_zone: zone(0),
+            per_upstream: MAX_IN_FLIGHT_PER_REPLICA,
+            waiting_max: 512,
+        };
         let services = names
             .iter()
             .map(|_| Service {
@@ -170,7 +174,7 @@
                 last_use_us: None,
                 waiting: HashMap::new(),
                 load_us: REMOTE_LOAD_US,
-                next_look_us: None,
+                next_check_us: None,
             })
             .collect();
         let events = requests
@@ -198,11 +202,11 @@
             first_request_ms: Vec::new(),
             is_cold: vec![false; requests.len()],
             is_first: vec![false; requests.len()],
-            room_wanted: Vec::new(),
+            lacking_memory: Vec::new(),
         }
     }
 
-    /// Runs the whole trace and returns the figures.
+    /// Runs the entire trace and returns the results.
     pub(crate) fn run(mut self, name: &str) -> Report {
         self.evicts = Policy::evicts(name);
         if self.policy.stages && self.options.weight == Weight::Cold {
@@ -210,10 +214,10 @@
         }
         let end_us = self.requests.last().map_or(0, |r| r.at_ms * 1000);
         while let Some(Reverse((at, event))) = self.events.pop() {
-            // After the last arrival only what still runs or waits is of interest.
-            let open =
+            // After the last arrival, only running and waiting requests are simulated to their end.
+            let has_open_requests =
                 self.services.iter().any(|s| !s.waiting.is_empty() || s.pool.in_flight() > 0);
-            if at > end_us && !open {
+            if at > end_us && !has_open_requests {
                 break;
             }
             self.now_us = at;
@@ -249,11 +253,11 @@
             Event::Arrive { request } => self.arrive(request),
             Event::Stage { service } => self.stage(service),
             Event::Finish { request, host } => self.finish(request, host),
-            Event::Loaded { service, host } => self.loaded(service, host),
-            Event::Look { service } => {
-                if self.services[service].next_look_us == Some(self.now_us) {
-                    self.services[service].next_look_us = None;
-                    self.look(service);
+            Event::Loaded { service, host } => self.finish_load(service, host),
+            Event::Check { service } => {
+                if self.services[service].next_check_us == Some(self.now_us) {
+                    self.services[service].next_check_us = None;
+                    self.check(service);
                 }
             }
         }
@@ -267,11 +271,11 @@
         let rank = u8::from(r.class == Class::Batch);
         let s = &mut self.services[id];
         let gap = s.last_use_us.map(|last| self.now_us.saturating_sub(last));
-        self.is_first[request] = gap.is_none_or(|gap| gap >= FIRST_REQUEST_US);
-        let quiet = s.waiting.is_empty() && s.pool.in_flight() == 0;
+        self.is_first[request] = gap.is_none_or(|gap| gap >= FIRST_REQUEST_GAP_US);
+        let is_idle = s.waiting.is_empty() && s.pool.in_flight() == 0;
         if let Some(gap) = gap
-            && quiet
-            && gap >= SHORTEST_GAP_US
+            && is_idle
+            && gap >= MIN_GAP_US
         {
             s.gaps.record(Duration::from_micros(gap));
         }
@@ -280,27 +284,27 @@
         let routing = ZoneTwoChoices::default();
         let waiter = Waiter { rank, deadline };
         match s.pool.arrive(now, waiter, None, &[], &routing, &mut self.rng) {
-            Arrival::Granted(target) => self.begin(id, request, host_of(&target)),
+            Arrival::Granted(target) => self.start_request(id, request, host_index(&target)),
             Arrival::Queued(ticket) => {
                 s.waiting.insert(ticket, request);
-                self.look(id);
+                self.check(id);
             }
             Arrival::Refused(_) => self.tally.refused += 1,
         }
     }
 
-    /// Begins to serve a request at a host.
-    fn begin(&mut self, id: usize, request: usize, host: usize) {
+    /// Starts to serve a request at a host.
+    fn start_request(&mut self, id: usize, request: usize, host: usize) {
         let r = &self.requests[request];
         let now_us = self.now_us;
         let Some(replica) = self.services[id].replicas.iter_mut().find(|x| x.host == host) else {
             return;
         };
-        if replica.busy == 0 {
+        if replica.active_requests == 0 {
             replica.busy_since_us = now_us;
         }
-        replica.busy += 1;
-        let adapter_us = adapter_time(replica, &r.adapter);
+        replica.active_requests += 1;
+        let adapter_us = adapter_load_time(replica, &r.adapter);
         let first_us =
             FIRST_TOKEN_BASE_US + adapter_us + u64::from(r.prompt_tokens) * PROMPT_TOKEN_US;
         let end_us = now_us + first_us + u64::from(r.output_tokens) * OUTPUT_TOKEN_US;
@@ -326,8 +330,8 @@
         let s = &mut self.services[id];
         s.last_use_us = Some(now_us);
         if let Some(replica) = s.replicas.iter_mut().find(|x| x.host == host) {
-            replica.busy -= 1;
-            if replica.busy == 0 {
+            replica.active_requests -= 1;
+            if replica.active_requests == 0 {
                 replica.busy_us += now_us - replica.busy_since_us;
                 replica.idle_since_us = now_us;
             }
@@ -340,22 +344,22 @@
         let routing = ZoneTwoChoices::default();
         let grants = s.pool.finish(&target(host), Some(took), &routing, &mut self.rng);
         self.grant(id, grants);
-        self.look(id);
-        // Room may have come up for services that wait for it.
-        for other in std::mem::take(&mut self.room_wanted) {
-            self.look(other);
+        self.check(id);
+        // A replica may have become evictable for services that lack memory.
+        for other in std::mem::take(&mut self.lacking_memory) {
+            self.check(other);
         }
     }
 
     fn grant(&mut self, id: usize, grants: Vec<Grant>) {
         for grant in grants {
             if let Some(request) = self.services[id].waiting.remove(&grant.ticket) {
-                self.begin(id, request, host_of(&grant.target));
+                self.start_request(id, request, host_index(&grant.target));
             }
         }
     }
 
-    fn loaded(&mut self, id: usize, host: usize) {
+    fn finish_load(&mut self, id: usize, host: usize) {
         let now_us = self.now_us;
         self.hosts[host].loading -= 1;
         if !self.hosts[host].disk.contains(&id) {
@@ -366,16 +370,16 @@
         if let Some(replica) = s.replicas.iter_mut().find(|x| x.host == host) {
             replica.ready = true;
             replica.idle_since_us = now_us;
-            s.load_us = now_us - replica.began_us;
+            s.load_us = now_us - replica.load_started_us;
             s.pool.record_load(Duration::from_micros(s.load_us));
         }
         if self.services[id].last_use_us.is_none() {
-            // It was loaded only to bring its checkpoint near.
+            // The model was loaded only to stage its checkpoint.
             self.remove_replica(id, 0);
             return;
         }
         self.publish(id);
-        self.look(id);
+        self.check(id);
     }
 
     fn publish(&mut self, id: usize) {
@@ -389,18 +393,18 @@
         self.grant(id, grants);
     }
 
-    /// Decides for one service, as a coordinator's step does.
-    fn look(&mut self, id: usize) {
-        self.give_up(id);
+    /// Decides on scaling and retention of one service, as a coordinator does in one step.
+    fn check(&mut self, id: usize) {
+        self.refuse_expired(id);
         let s = &self.services[id];
         let demand = Demand {
             waiting: s.pool.waiting() as u32,
             in_flight: s.pool.in_flight(),
-            per_replica: PER_REPLICA,
+            per_replica: MAX_IN_FLIGHT_PER_REPLICA,
             service_time: s.pool.service_time(),
             load_time: Duration::from_micros(s.load_us),
         };
-        // The baselines differ in retention alone.
+        // The baselines differ only in retention.
         let weight = if self.policy.bounded { self.weight() } else { ColdWeight::Less };
         let extra_after = scaling::extra_after(weight, demand.load_time);
         let bounds = ReplicaBounds { min: 0, max: self.options.replicas, extra_after };
@@ -412,7 +416,7 @@
             wanted = wanted.max(1);
         }
         if wanted > present && !self.load(id, demand.waiting == 0) && demand.waiting > 0 {
-            self.room_wanted.push(id);
+            self.lacking_memory.push(id);
         }
         if demand.waiting == 0 && demand.in_flight == 0 && !prewarm {
             self.remove_idle(id, &plan);
@@ -420,8 +424,8 @@
         self.schedule(id, &plan);
     }
 
-    /// Gives up the waiters that can't be served in time.
-    fn give_up(&mut self, id: usize) {
+    /// Refuses the waiting requests that can no longer be served in time.
+    fn refuse_expired(&mut self, id: usize) {
         let now = self.now();
         let s = &mut self.services[id];
         for ticket in s.pool.expire(now) {
@@ -435,12 +439,12 @@
         let s = &self.services[id];
         let options = RetentionOptions {
             cold_start_worth: retention::cold_start_worth(self.weight()),
-            at_least: AT_LEAST,
-            at_most: AT_MOST,
+            at_least: MIN_KEEP,
+            at_most: MAX_KEEP,
             load_time: Duration::from_micros(s.load_us),
         };
         let plan = self.policy.retention.plan(&s.gaps, &options);
-        debug_assert!(!self.policy.bounded || plan.keep <= AT_MOST);
+        debug_assert!(!self.policy.bounded || plan.keep <= MAX_KEEP);
         plan
     }
 
@@ -460,20 +464,22 @@
     fn remove_idle(&mut self, id: usize, plan: &Plan) {
         let Some(last_us) = self.services[id].last_use_us else { return };
         let idle = Duration::from_micros(self.now_us - last_us);
-        if self.policy.bounded && idle >= AT_LEAST && self.services[id].replicas.len() > 1 {
+        if self.policy.bounded && idle >= MIN_KEEP && self.services[id].replicas.len() > 1 {
             self.remove_extra(id);
         }
         if idle < plan.keep {
             return;
         }
-        while let Some(at) = self.services[id].replicas.iter().position(|x| x.ready && x.busy == 0)
+        while let Some(at) =
+            self.services[id].replicas.iter().position(|x| x.ready && x.active_requests == 0)
         {
             self.remove_replica(id, at);
         }
         self.publish(id);
     }
 
-    /// Plans the next look: the end of the retention, the prewarm, or a waiter's deadline.
+    /// Schedules the next check: at the end of the retention, at a bound of the prewarm window, or
+    /// in 500 ms while requests wait.
     fn schedule(&mut self, id: usize, plan: &Plan) {
         let s = &self.services[id];
         let Some(last_us) = s.last_use_us else { return };
@@ -481,7 +487,7 @@
         let mut times = Vec::new();
         if !s.replicas.is_empty() {
             times.push(after(plan.keep));
-            times.push(after(AT_LEAST));
+            times.push(after(MIN_KEEP));
         }
         if let Some((from, span)) = plan.prewarm {
             times.extend([after(from), after(from + span)]);
@@ -490,22 +496,22 @@
             times.push(self.now_us + 500_000);
         }
         let next = times.into_iter().filter(|t| *t > self.now_us).min();
-        self.services[id].next_look_us = next;
+        self.services[id].next_check_us = next;
         if let Some(at) = next {
-            self.events.push(Reverse((at, Event::Look { service: id })));
+            self.events.push(Reverse((at, Event::Check { service: id })));
         }
         debug_assert!(id < self.names.len());
     }
 }
 
-/// Returns the time to have the adapter beside the replica's model.
-fn adapter_time(replica: &mut Replica, adapter: &str) -> u64 {
+/// Returns the time to load the adapter at the replica, zero if it is loaded.
+fn adapter_load_time(replica: &mut Replica, adapter: &str) -> u64 {
     if adapter.is_empty() || replica.adapters.iter().any(|a| a == adapter) {
         return 0;
     }
-    if replica.adapters.len() == ADAPTERS {
+    if replica.adapters.len() == MAX_ADAPTERS {
         replica.adapters.remove(0);
     }
     replica.adapters.push(adapter.to_owned());
-    ADAPTER_US
+    ADAPTER_LOAD_US
 }
--- a/crates/tansyknot-policy/examples/replay/world/loads.rs
+++ b/crates/tansyknot-policy/examples/replay/world/loads.rs
@@ -8,20 +8,21 @@
     staging::{self, Staging},
 };
 
-use super::{Event, Replica, World, target, zone};
+use super::{Event, Replica, Simulation, target, zone};
 
 const MEMORY_LOAD_US: u64 = 1_500_000;
 const DISK_LOAD_US: u64 = 4_000_000;
 pub(super) const REMOTE_LOAD_US: u64 = 10_000_000;
-/// Remote loads at once that run at full speed.
+/// Concurrent loads that the weight store serves at full speed.
 const FULL_SPEED_LOADS: u32 = 4;
-/// Checkpoints that stay in a host's main memory after their model has been removed.
-const MEMORY_CACHED: usize = 2;
+/// Maximum number of checkpoints of removed models in a host's main memory.
+const MAX_CACHED_IN_MEMORY: usize = 2;
 
-impl World<'_> {
-    /// Loads one more replica if there is room or room can be made; tells whether it did.
-    pub(super) fn load(&mut self, id: usize, ahead: bool) -> bool {
-        let Some(host) = self.choose_host(id).or_else(|| self.make_room(id, ahead)) else {
+impl Simulation<'_> {
+    /// Loads one more replica, after an eviction if needed; returns whether a load was started.
+    pub(super) fn load(&mut self, id: usize, prewarm: bool) -> bool {
+        let Some(host) = self.choose_host(id).or_else(|| self.evict_idle_replica(id, prewarm))
+        else {
             return false;
         };
         let ready_us = self.load_end(id, host);
@@ -36,8 +37,8 @@
         s.replicas.push(Replica {
             host,
             ready: false,
-            began_us: now_us,
-            busy: 0,
+            load_started_us: now_us,
+            active_requests: 0,
             busy_since_us: 0,
             busy_us: 0,
             adapters: Vec::new(),
@@ -47,13 +48,14 @@
             self.tally.replica_limit_violations += 1;
         }
         s.pool.expect_ready(Some(Time::from_micros(ready_us)));
-        let count = if ahead { &mut self.tally.prewarms } else { &mut self.tally.cold_starts };
+        let count = if prewarm { &mut self.tally.prewarms } else { &mut self.tally.cold_starts };
         *count += 1;
         self.events.push(Reverse((ready_us, Event::Loaded { service: id, host })));
         true
     }
 
-    /// Loads services once that nobody asks for, as the operators know them from the start.
+    /// Stages the checkpoint of an unused service; the operators' objects list all services from the
+    /// start.
     pub(super) fn stage(&mut self, id: usize) {
         let Some(service) = self.services.get(id) else { return };
         let hosts = 0..self.hosts.len();
@@ -66,7 +68,7 @@
         if untouched && staging::wants_staging(&staging) {
             self.load(id, true);
         } else if untouched && staging.nearest == Tier::Remote {
-            // Loads are running: a later look finds room among them.
+            // Too many loads run or no host has room: staging tries this service again in 1 s.
             self.events.push(Reverse((self.now_us + 1_000_000, Event::Stage { service: id })));
             return;
         }
@@ -116,15 +118,15 @@
         NearestCheckpoint.order(&need, &places).first().copied()
     }
 
-    /// Removes the replica that has been idle longest; returns its host.
-    fn make_room(&mut self, id: usize, ahead: bool) -> Option<usize> {
-        if ahead || !self.evicts {
+    /// Evicts the replica that has been idle longest and returns its host.
+    fn evict_idle_replica(&mut self, id: usize, prewarm: bool) -> Option<usize> {
+        if prewarm || !self.evicts {
             return None;
         }
         let mut best: Option<(u64, usize, usize)> = None;
         for (other, s) in self.services.iter().enumerate().filter(|(other, _)| *other != id) {
             for (at, x) in s.replicas.iter().enumerate() {
-                let idle = x.ready && x.busy == 0;
+                let idle = x.ready && x.active_requests == 0;
                 if idle && best.is_none_or(|(since, ..)| x.idle_since_us < since) {
                     best = Some((x.idle_since_us, other, at));
                 }
@@ -137,10 +139,10 @@
         Some(host)
     }
 
-    /// Leaves one replica: the others were for a queue that has gone.
+    /// Removes idle replicas beyond the first: they were added for a queue that has drained.
     pub(super) fn remove_extra(&mut self, id: usize) {
         while self.services[id].replicas.len() > 1 {
-            let idle = |x: &Replica| x.ready && x.busy == 0;
+            let idle = |x: &Replica| x.ready && x.active_requests == 0;
             let Some(at) = self.services[id].replicas.iter().rposition(idle) else { break };
             self.remove_replica(id, at);
         }
@@ -149,7 +151,7 @@
 
     pub(super) fn remove_replica(&mut self, id: usize, at: usize) {
         let replica = self.services[id].replicas.remove(at);
-        let loaded_us = self.now_us - replica.began_us;
+        let loaded_us = self.now_us - replica.load_started_us;
         let hours = |us: u64| us as f64 / 3.6e9;
         self.tally.busy_accelerator_hours += hours(replica.busy_us);
         self.tally.idle_accelerator_hours += hours(loaded_us - replica.busy_us);
@@ -157,7 +159,7 @@
         host.used_bytes -= self.options.model_bytes;
         host.memory.retain(|m| *m != id);
         host.memory.push(id);
-        if host.memory.len() > MEMORY_CACHED {
+        if host.memory.len() > MAX_CACHED_IN_MEMORY {
             host.memory.remove(0);
         }
     }
--- a/crates/tansyknot-policy/examples/trace.rs
+++ b/crates/tansyknot-policy/examples/trace.rs
@@ -1,4 +1,4 @@
-//! Makes an arrival trace of a permit desk and a nursery placement office.
+//! Generates an arrival trace of a permit desk and a nursery placement office.
 //!
 //! `cargo run --release --example trace -- --seed 1 > trace.csv`
 
@@ -12,27 +12,27 @@
 
 #[derive(Parser)]
 struct Args {
-    /// The seed.
+    /// Seed of the random generator.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Services.
+    /// Number of services.
     #[arg(long, default_value_t = 50)]
     services: usize,
-    /// Hours.
+    /// Length of the trace in hours.
     #[arg(long, default_value_t = 24.0)]
     hours: f64,
 }
 
-/// How the requests for a service come.
+/// The arrival pattern of the requests for a service.
 #[derive(Clone, Copy)]
 enum Pattern {
-    /// Most services: long, heavy-tailed gaps, then a few requests together.
+    /// Most services: long, heavy-tailed gaps between small groups of requests.
     Sparse { scale_ms: f64 },
-    /// Used through office hours.
+    /// Requests during office hours.
     Office { per_hour: f64 },
-    /// At a steady interval, such as a report.
+    /// Requests at a fixed interval, for instance for a report.
     Periodic { every_ms: f64 },
-    /// Overnight reviews, many in a row.
+    /// Overnight reviews: many consecutive requests.
     Batch { count: usize },
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The share of the day's peak at an hour: quiet at night, two peaks in office hours.
+/// Returns the relative request rate at a time of day: low at night, two peaks in office hours.
 fn activity(at_ms: f64) -> f64 {
     let hour = (at_ms / HOUR_MS) % 24.0;
     let peak = |centre: f64| (-((hour - centre) / 2.0).powi(2)).exp();
@@ -64,7 +64,7 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// A Pareto sample with a finite mean; most are short, a few very long.
+/// Returns a Pareto sample with a finite mean: most are short, a few very long.
 fn heavy_tailed(scale: f64, rng: &mut StdRng) -> f64 {
     const SHAPE: f64 = 1.2;
     scale / (1.0 - rng.random::<f64>()).powf(1.0 / SHAPE)
@@ -105,16 +105,17 @@
             let mut at = 0.0;
             while at < end_ms {
                 at += heavy_tailed(scale_ms, rng) / activity(at).max(0.1);
-                let together = rng.random_range(1..5);
-                // Now and then many routers see the first requests at once.
+                let group_size = rng.random_range(1..5);
+                // Occasionally, many routers send their first requests at the same time.
                 let burst = rng.random::<f64>() < 0.05;
-                let count = if burst { rng.random_range(10..40) } else { together };
-                let mut then = at;
+                let count = if burst { rng.random_range(10..40) } else { group_size };
+                let mut request_at = at;
                 for _ in 0..count {
-                    push(then, false, burst);
-                    then += if burst { exponential(50.0, rng) } else { exponential(15_000.0, rng) };
+                    push(request_at, false, burst);
+                    request_at +=
+                        if burst { exponential(50.0, rng) } else { exponential(15_000.0, rng) };
                 }
-                at = then;
+                at = request_at;
             }
         }
     }
@@ -131,7 +132,7 @@
     if let Err(e) = write(&rows, &mut rng)
         && e.kind() != io::ErrorKind::BrokenPipe
     {
-        eprintln!("the trace can't be written: {e}");
+        eprintln!("failed to write the trace: {e}");
     }
 }
 
--- a/crates/tansyknot-policy/src/gaps.rs
+++ b/crates/tansyknot-policy/src/gaps.rs
@@ -13,7 +13,7 @@
 }
 
 impl Gaps {
-    /// Records a gap; replaces the oldest one if [`MAX_GAPS`] are stored.
+    /// Records a gap; replaces the oldest one if the maximum number is stored.
     pub fn record(&mut self, gap: Duration) {
         let s = u32::try_from(gap.as_secs()).unwrap_or(u32::MAX);
         if self.seconds.len() < MAX_GAPS {
--- a/crates/tansyknot-policy/tests/overload.rs
+++ b/crates/tansyknot-policy/tests/overload.rs
@@ -137,12 +137,12 @@
     let (mut pool, routing) = (pool(), ZoneTwoChoices::default());
     let mut rng = StdRng::seed_from_u64(1);
     let waiter = Waiter { rank: 0, deadline: Time::from_millis(2000) };
-    let mut arrive =
+    let mut send_one =
         |pool: &mut Pool| pool.arrive(Time::default(), waiter, None, &[], &routing, &mut rng);
     for _ in 0..UPSTREAMS as u32 * PER_UPSTREAM {
-        assert!(matches!(arrive(&mut pool), Arrival::Granted(_)));
+        assert!(matches!(send_one(&mut pool), Arrival::Granted(_)));
     }
-    let Arrival::Queued(ticket) = arrive(&mut pool) else {
+    let Arrival::Queued(ticket) = send_one(&mut pool) else {
         panic!("the deadline leaves time to wait")
     };
     assert_eq!(pool.expire(Time::from_millis(1000)), []);
@@ -258,8 +258,8 @@
             prop_assert_eq!(pool.in_flight() as usize, running.len());
             for i in 0..UPSTREAMS {
                 let target = TargetName::new(format!("t{i}"));
-                let in_flight = running.iter().filter(|t| **t == target).count();
-                prop_assert!(in_flight <= PER_UPSTREAM as usize);
+                let at_target = running.iter().filter(|t| **t == target).count();
+                prop_assert!(at_target <= PER_UPSTREAM as usize);
             }
         }
     }
