--- a/crates/tansyknot-gossip/src/interest.rs
+++ b/crates/tansyknot-gossip/src/interest.rs
@@ -1,4 +1,4 @@
-//! Which daemons use a service, so that news of its replicas goes to them alone.
+//! The daemons that use each service; only they receive changes of its replicas.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,29 +7,29 @@
     name::{DaemonName, ServiceName},
 };
 
-/// A daemon that has not used a service for this long hears no news of it.
-const INTEREST_SPAN: Duration = Duration::from_secs(60);
+/// A daemon that has not used a service for this long receives no changes of its replicas.
+const INTEREST_TTL: Duration = Duration::from_secs(60);
 
-/// The daemons that have lately used each service.
+/// The daemons that have recently used each service.
 #[derive(Debug, Default)]
 pub struct Interest {
     services: HashMap<ServiceName, HashMap<DaemonName, Time>>,
 }
 
 impl Interest {
-    /// Notes that a daemon uses a service.
-    pub fn note(&mut self, service: &ServiceName, daemon: &DaemonName, now: Time) {
+    /// Records that a daemon uses a service.
+    pub fn record_use(&mut self, service: &ServiceName, daemon: &DaemonName, now: Time) {
         self.services.entry(service.clone()).or_default().insert(daemon.clone(), now);
     }
 
-    /// Returns the daemons to tell, and forgets those that are past the span.
+    /// Returns the daemons that recently used the service, and removes expired ones.
     pub fn daemons(&mut self, service: &ServiceName, now: Time) -> Vec<DaemonName> {
         let Some(daemons) = self.services.get_mut(service) else { return Vec::new() };
-        daemons.retain(|_, at| now.since(*at) < INTEREST_SPAN);
-        let found = daemons.keys().cloned().collect();
+        daemons.retain(|_, at| now.since(*at) < INTEREST_TTL);
+        let recent = daemons.keys().cloned().collect();
         if daemons.is_empty() {
             self.services.remove(service);
         }
-        found
+        recent
     }
 }
--- a/crates/tansyknot-gossip/src/lib.rs
+++ b/crates/tansyknot-gossip/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership and demand messages between daemons over UDP.
 //!
 //! [`message`] is the codec, [`members`] the membership as a pure state machine, [`interest`]
-//! remembers who uses which service, and [`node`] carries all three over a socket.
+//! tracks which daemons use which service, and [`node`] runs all three over a socket.
 
 pub mod interest;
 pub mod members;
--- a/crates/tansyknot-gossip/src/members.rs
+++ b/crates/tansyknot-gossip/src/members.rs
@@ -1,7 +1,8 @@
-//! The membership as a pure state machine: probes, suspicion, refutation, bounded news.
+//! The membership as a pure state machine: probes, suspicion, refutation, bounded updates.
 //!
-//! Each round a daemon pings one member, so its load does not grow with their number. News
-//! spreads on the pings. This follows the SWIM protocol (Das, Gupta, Motivala, 2002).
+//! Each daemon pings one member per probe interval, so its load does not grow with the number of
+//! members. Updates are piggybacked on pings and acknowledgements. This follows the SWIM protocol
+//! (Das, Gupta, Motivala, 2002).
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,30 +23,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembersOptions {
     /// Time between two probes.
-    pub round: Duration,
-    /// A ping without an answer is sent through others after this long.
-    pub direct_timeout: Duration,
-    /// Members asked to ping on one's behalf.
-    pub helpers: usize,
-    /// A suspect that does not refute is dead after this long.
-    pub suspicion: Duration,
-    /// A dead member is forgotten after this long.
-    pub forget: Duration,
+    pub probe_interval: Duration,
+    /// Time without an acknowledgement after which a member is probed indirectly.
+    pub ack_timeout: Duration,
+    /// Number of members that ping for this daemon in an indirect probe.
+    pub indirect_probes: usize,
+    /// Time after which a suspect that has not refuted is declared dead.
+    pub suspicion_timeout: Duration,
+    /// Time after which a dead member is removed.
+    pub dead_retention: Duration,
 }
 
 impl Default for MembersOptions {
     fn default() -> Self {
         Self {
-            round: Duration::from_secs(1),
-            direct_timeout: Duration::from_millis(300),
-            helpers: 2,
-            suspicion: Duration::from_secs(3),
-            forget: Duration::from_secs(60),
+            probe_interval: Duration::from_secs(1),
+            ack_timeout: Duration::from_millis(300),
+            indirect_probes: 2,
+            suspicion_timeout: Duration::from_secs(3),
+            dead_retention: Duration::from_secs(60),
         }
     }
 }
 
-/// This daemon as others know it.
+/// The identity of this daemon in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Myself {
     /// The name.
@@ -54,14 +55,14 @@
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: ZoneName,
-    /// Higher than at any earlier start, for instance the time in milliseconds.
+    /// The incarnation number: higher than at any earlier start, for instance the time in ms.
     pub number: u64,
 }
 
-/// A message and where it goes.
+/// A message and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where it goes.
+    /// The destination.
     pub to: SocketAddr,
     /// The message.
     pub message: Message,
@@ -71,60 +72,60 @@
 struct Member {
     address: SocketAddr,
     zone: ZoneName,
-    number: u64,
+    incarnation: u64,
     liveness: Liveness,
-    since: Time,
-    /// How often news of it is still to be sent.
-    to_send: u32,
+    liveness_since: Time,
+    /// How often the member's state is still to be sent.
+    sends_left: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Probe {
     seq: u64,
     daemon: DaemonName,
-    sent: Time,
-    helped: bool,
+    sent_at: Time,
+    is_indirect: bool,
 }
 
-/// Pings made on behalf of others: whom to answer, and with which number.
+/// A ping sent for another member, with the destination and sequence number of the reply.
 #[derive(Clone, Debug)]
-struct Errand {
+struct IndirectPing {
     to: SocketAddr,
     seq: u64,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// News in one message.
-const UPDATES: usize = 6;
-/// Errands are forgotten after this long.
-const ERRAND_SPAN: Duration = Duration::from_secs(2);
+/// Maximum number of member updates in one message.
+const MAX_UPDATES: usize = 6;
+/// Time after which an unacknowledged ping for another member is dropped.
+const INDIRECT_PING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The membership as one daemon sees it.
+/// One daemon's view of the membership.
 #[derive(Debug)]
 pub struct Members {
     options: MembersOptions,
     me: Myself,
     members: BTreeMap<DaemonName, Member>,
-    order: Vec<DaemonName>,
+    probe_order: Vec<DaemonName>,
     probe: Option<Probe>,
-    errands: HashMap<u64, Errand>,
+    indirect_pings: HashMap<u64, IndirectPing>,
     next_seq: u64,
-    next_round: Time,
+    next_probe_at: Time,
     epoch: u64,
 }
 
 impl Members {
-    /// Makes a membership of one.
+    /// Creates a membership with only this daemon.
     pub fn new(me: Myself, options: MembersOptions) -> Self {
         Self {
             options,
             me,
             members: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            errands: HashMap::new(),
+            indirect_pings: HashMap::new(),
             next_seq: 1,
-            next_round: Time::default(),
+            next_probe_at: Time::default(),
             epoch: 0,
         }
     }
@@ -134,62 +135,62 @@
         &self.me.daemon
     }
 
-    /// Returns a number that rises whenever the set of daemons that answer may have changed.
+    /// Returns a number that rises whenever the set of live daemons may have changed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Returns the daemons that answer, this one included.
+    /// Returns the live daemons, including this one.
     pub fn alive(&self) -> impl Iterator<Item = &DaemonName> {
         let others = self.members.iter().filter(|(_, m)| m.liveness == Liveness::Alive);
         std::iter::once(&self.me.daemon).chain(others.map(|(name, _)| name))
     }
 
-    /// Returns where a daemon listens for peers.
+    /// Returns the address at which a daemon listens for peers.
     pub fn address(&self, daemon: &DaemonName) -> Option<SocketAddr> {
         self.members.get(daemon).map(|m| m.address)
     }
 
-    /// Takes in daemons that the table lists. Known ones stay as they are.
+    /// Adds daemons that the table lists; existing members stay unchanged.
     pub fn join(&mut self, daemons: impl IntoIterator<Item = Update>, now: Time) {
         for update in daemons {
             if !self.members.contains_key(&update.daemon) {
-                self.learn(update, now);
+                self.apply_update(update, now);
             }
         }
     }
 
-    /// Moves time on: ends probes, begins the next one, declares suspects dead.
+    /// Advances the time: ends the probe, starts the next one and declares suspects dead.
     pub fn tick(&mut self, now: Time, rng: &mut dyn RngCore) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        self.help_probe(now, rng, &mut out);
-        self.bury(now);
-        self.errands.retain(|_, e| now.since(e.sent) < ERRAND_SPAN);
-        if now >= self.next_round {
-            self.next_round = now + self.options.round;
+        self.probe_indirectly(now, rng, &mut out);
+        self.expire_members(now);
+        self.indirect_pings.retain(|_, p| now.since(p.sent_at) < INDIRECT_PING_TIMEOUT);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + self.options.probe_interval;
             self.end_probe(now);
             self.begin_probe(now, rng, &mut out);
         }
         out
     }
 
-    /// Takes in a message about members; others than pings and answers give nothing.
+    /// Processes a membership message and returns the replies; ignores other messages.
     pub fn receive(&mut self, from: SocketAddr, message: Message, now: Time) -> Vec<Outgoing> {
         match message {
             Message::Ping { seq, updates } => {
-                self.learn_all(updates, now);
-                let message = Message::Ack { seq, updates: self.news() };
+                self.apply_updates(updates, now);
+                let message = Message::Ack { seq, updates: self.next_updates() };
                 vec![Outgoing { to: from, message }]
             }
             Message::Ack { seq, updates } => {
-                self.learn_all(updates, now);
+                self.apply_updates(updates, now);
                 self.acknowledge(seq)
             }
             Message::PingFor { seq, address, updates } => {
-                self.learn_all(updates, now);
-                let own = self.take_seq();
-                self.errands.insert(own, Errand { to: from, seq, sent: now });
-                let message = Message::Ping { seq: own, updates: self.news() };
+                self.apply_updates(updates, now);
+                let ping_seq = self.allocate_seq();
+                self.indirect_pings.insert(ping_seq, IndirectPing { to: from, seq, sent_at: now });
+                let message = Message::Ping { seq: ping_seq, updates: self.next_updates() };
                 vec![Outgoing { to: address, message }]
             }
             Message::Wake { .. } | Message::Used { .. } | Message::Changed { .. } => Vec::new(),
@@ -197,9 +198,9 @@
     }
 
     fn acknowledge(&mut self, seq: u64) -> Vec<Outgoing> {
-        if let Some(errand) = self.errands.remove(&seq) {
-            let message = Message::Ack { seq: errand.seq, updates: self.news() };
-            return vec![Outgoing { to: errand.to, message }];
+        if let Some(ping) = self.indirect_pings.remove(&seq) {
+            let message = Message::Ack { seq: ping.seq, updates: self.next_updates() };
+            return vec![Outgoing { to: ping.to, message }];
         }
         if self.probe.as_ref().is_some_and(|p| p.seq == seq) {
             self.probe = None;
@@ -207,33 +208,34 @@
         Vec::new()
     }
 
-    /// Has helpers ping a member that has not answered.
-    fn help_probe(&mut self, now: Time, rng: &mut dyn RngCore, out: &mut Vec<Outgoing>) {
-        let timeout = self.options.direct_timeout;
+    /// Requests indirect probes of a member that has not acknowledged the direct ping.
+    fn probe_indirectly(&mut self, now: Time, rng: &mut dyn RngCore, out: &mut Vec<Outgoing>) {
+        let timeout = self.options.ack_timeout;
         let Some(probe) = self.probe.clone() else { return };
-        if probe.helped || now.since(probe.sent) < timeout {
+        if probe.is_indirect || now.since(probe.sent_at) < timeout {
             return;
         }
         let Some(address) = self.address(&probe.daemon) else { return };
-        for to in self.helpers(&probe.daemon, rng) {
-            let message = Message::PingFor { seq: probe.seq, address, updates: self.news() };
+        for to in self.choose_helpers(&probe.daemon, rng) {
+            let message =
+                Message::PingFor { seq: probe.seq, address, updates: self.next_updates() };
             out.push(Outgoing { to, message });
         }
         if let Some(probe) = &mut self.probe {
-            probe.helped = true;
+            probe.is_indirect = true;
         }
     }
 
-    fn helpers(&self, except: &DaemonName, rng: &mut dyn RngCore) -> Vec<SocketAddr> {
+    fn choose_helpers(&self, except: &DaemonName, rng: &mut dyn RngCore) -> Vec<SocketAddr> {
         let others = self.members.iter();
         let mut alive: Vec<SocketAddr> = others
             .filter(|(name, m)| *name != except && m.liveness == Liveness::Alive)
             .map(|(_, m)| m.address)
             .collect();
-        alive.partial_shuffle(rng, self.options.helpers).0.to_vec()
+        alive.partial_shuffle(rng, self.options.indirect_probes).0.to_vec()
     }
 
-    /// Suspects the member whose probe was not answered in the whole round.
+    /// Suspects the member that did not acknowledge its probe within the probe interval.
     fn end_probe(&mut self, now: Time) {
         let Some(probe) = self.probe.take() else { return };
         let count = self.members.len();
@@ -242,77 +244,78 @@
             event::PEER_SUSPECT.emit(&[("daemon", &probe.daemon)]);
             member.liveness = Liveness::Suspect;
             self.epoch += 1;
-            member.since = now;
-            member.to_send = sends(count);
+            member.liveness_since = now;
+            member.sends_left = send_count(count);
         }
     }
 
     fn begin_probe(&mut self, now: Time, rng: &mut dyn RngCore, out: &mut Vec<Outgoing>) {
         let Some(daemon) = self.next_to_probe(rng) else { return };
         let Some(to) = self.address(&daemon) else { return };
-        let seq = self.take_seq();
-        self.probe = Some(Probe { seq, daemon, sent: now, helped: false });
-        out.push(Outgoing { to, message: Message::Ping { seq, updates: self.news() } });
+        let seq = self.allocate_seq();
+        self.probe = Some(Probe { seq, daemon, sent_at: now, is_indirect: false });
+        out.push(Outgoing { to, message: Message::Ping { seq, updates: self.next_updates() } });
     }
 
-    /// Goes through all members in a random order, so that each is probed within a bound.
+    /// Iterates over all members in random order, which bounds the time between two probes of one.
     fn next_to_probe(&mut self, rng: &mut dyn RngCore) -> Option<DaemonName> {
         loop {
-            if self.order.is_empty() {
+            if self.probe_order.is_empty() {
                 let probed = self.members.iter().filter(|(_, m)| m.liveness != Liveness::Dead);
-                self.order = probed.map(|(name, _)| name.clone()).collect();
-                self.order.shuffle(rng);
+                self.probe_order = probed.map(|(name, _)| name.clone()).collect();
+                self.probe_order.shuffle(rng);
             }
-            let daemon = self.order.pop()?;
+            let daemon = self.probe_order.pop()?;
             if self.members.get(&daemon).is_some_and(|m| m.liveness != Liveness::Dead) {
                 return Some(daemon);
             }
-            if self.order.is_empty() && self.alive().count() == 1 {
+            if self.probe_order.is_empty() && self.alive().count() == 1 {
                 return None;
             }
         }
     }
 
-    /// Declares suspects dead that have not refuted, and forgets the long dead.
-    fn bury(&mut self, now: Time) {
+    /// Declares suspects dead that have not refuted in time, and removes expired dead members.
+    fn expire_members(&mut self, now: Time) {
         let count = self.members.len();
         for (name, member) in &mut self.members {
-            let silent = now.since(member.since) >= self.options.suspicion;
-            if member.liveness == Liveness::Suspect && silent {
+            let timed_out = now.since(member.liveness_since) >= self.options.suspicion_timeout;
+            if member.liveness == Liveness::Suspect && timed_out {
                 event::PEER_DEAD.emit(&[("daemon", name)]);
                 member.liveness = Liveness::Dead;
-                member.since = now;
-                member.to_send = sends(count);
+                member.liveness_since = now;
+                member.sends_left = send_count(count);
             }
         }
-        let forget = self.options.forget;
-        self.members.retain(|_, m| m.liveness != Liveness::Dead || now.since(m.since) < forget);
+        let retention = self.options.dead_retention;
+        self.members
+            .retain(|_, m| m.liveness != Liveness::Dead || now.since(m.liveness_since) < retention);
     }
 
-    fn learn_all(&mut self, updates: Vec<Update>, now: Time) {
+    fn apply_updates(&mut self, updates: Vec<Update>, now: Time) {
         for update in updates {
-            self.learn(update, now);
+            self.apply_update(update, now);
         }
     }
 
-    /// Takes in news of a member if it is newer than what is known.
-    fn learn(&mut self, update: Update, now: Time) {
+    /// Applies the update of a member if it supersedes the stored state.
+    fn apply_update(&mut self, update: Update, now: Time) {
         if update.daemon == self.me.daemon {
             self.refute(&update);
             return;
         }
         let count = self.members.len();
-        let mut known = self.members.get_mut(&update.daemon);
-        if let Some(member) = &mut known
-            && !is_newer(&update, member)
+        let mut existing = self.members.get_mut(&update.daemon);
+        if let Some(member) = &mut existing
+            && !supersedes(&update, member)
         {
-            // A member that was taken for gone and speaks again must hear of it to refute it.
+            // A live member that is stored as suspect or dead must receive that state to refute it.
             if update.liveness == Liveness::Alive && member.liveness != Liveness::Alive {
-                member.to_send = sends(count);
+                member.sends_left = send_count(count);
             }
             return;
         }
-        if known.is_none() {
+        if existing.is_none() {
             if update.liveness == Liveness::Dead {
                 return;
             }
@@ -321,42 +324,42 @@
         let member = Member {
             address: update.address,
             zone: update.availability_zone,
-            number: update.number,
+            incarnation: update.number,
             liveness: update.liveness,
-            since: now,
-            to_send: sends(self.members.len() + 1),
+            liveness_since: now,
+            sends_left: send_count(self.members.len() + 1),
         };
         self.members.insert(update.daemon, member);
         self.epoch += 1;
     }
 
-    /// Raises the own number above a rumour that this daemon is not alive.
+    /// Raises this daemon's incarnation number above that of an update that reports it as not alive.
     fn refute(&mut self, update: &Update) {
         if update.liveness != Liveness::Alive && update.number >= self.me.number {
             self.me.number = update.number + 1;
         }
     }
 
-    /// Returns the news that has been sent least, and always word of oneself.
-    fn news(&mut self) -> Vec<Update> {
+    /// Returns this daemon's own update, then those with the most sends left.
+    fn next_updates(&mut self) -> Vec<Update> {
         let mut names: Vec<(u32, DaemonName)> = self
             .members
             .iter()
-            .filter(|(_, m)| m.to_send > 0)
-            .map(|(name, m)| (m.to_send, name.clone()))
+            .filter(|(_, m)| m.sends_left > 0)
+            .map(|(name, m)| (m.sends_left, name.clone()))
             .collect();
         names.sort_by(|a, b| b.cmp(a));
-        let mut updates = vec![self.word_of_me()];
-        for (_, name) in names.into_iter().take(UPDATES - 1) {
+        let mut updates = vec![self.own_update()];
+        for (_, name) in names.into_iter().take(MAX_UPDATES - 1) {
             if let Some(member) = self.members.get_mut(&name) {
-                member.to_send -= 1;
+                member.sends_left -= 1;
                 updates.push(update_of(&name, member));
             }
         }
         updates
     }
 
-    fn word_of_me(&self) -> Update {
+    fn own_update(&self) -> Update {
         Update {
             daemon: self.me.daemon.clone(),
             address: self.me.address,
@@ -366,7 +369,7 @@
         }
     }
 
-    fn take_seq(&mut self) -> u64 {
+    fn allocate_seq(&mut self) -> u64 {
         self.next_seq += 1;
         self.next_seq
     }
@@ -377,22 +380,23 @@
         daemon: name.clone(),
         address: member.address,
         availability_zone: member.zone.clone(),
-        number: member.number,
+        number: member.incarnation,
         liveness: member.liveness,
     }
 }
 
-/// Returns how often news is sent so that it reaches nearly every one of `count` members.
-fn sends(count: usize) -> u32 {
+/// Returns how often an update is sent to reach nearly all of `count` members.
+fn send_count(count: usize) -> u32 {
     3 * (usize::BITS - count.leading_zeros()).max(1)
 }
 
-/// At the same number, worse news goes before better.
-fn is_newer(update: &Update, known: &Member) -> bool {
+/// Returns whether an update replaces the stored state: a higher incarnation number does, and at
+/// the same number dead replaces suspect and suspect replaces alive.
+fn supersedes(update: &Update, existing: &Member) -> bool {
     let rank = |l: Liveness| match l {
         Liveness::Alive => 0,
         Liveness::Suspect => 1,
         Liveness::Dead => 2,
     };
-    (update.number, rank(update.liveness)) > (known.number, rank(known.liveness))
+    (update.number, rank(update.liveness)) > (existing.incarnation, rank(existing.liveness))
 }
--- a/crates/tansyknot-gossip/src/message.rs
+++ b/crates/tansyknot-gossip/src/message.rs
@@ -1,4 +1,5 @@
-//! The datagrams between daemons: a version byte and a `postcard` document, bounded in size.
+//! The datagrams between daemons: a magic byte, a version byte and a `postcard` document, bounded
+//! in size.
 
 use std::net::SocketAddr;
 
@@ -6,25 +7,25 @@
 use tansyknot_core::name::{DaemonName, ServiceName, ZoneName};
 use thiserror::Error;
 
-/// The version of the datagrams; one of another version is dropped.
+/// The version of the datagram format; datagrams of other versions are dropped.
 pub const VERSION: u8 = 1;
-/// The longest datagram, below the smallest usual MTU.
+/// Maximum length of a datagram, below the smallest common MTU.
 pub const MAX_BYTES: usize = 1200;
-/// The first byte of each datagram, to tell strays from peers.
+/// The first byte of each datagram, which distinguishes peers' datagrams from others.
 const MAGIC: u8 = 0xd7;
 
-/// What is said of a member.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It answers.
+    /// The member replies to probes.
     Alive,
-    /// It has not answered; it may still refute this.
+    /// The member has not replied to a probe; it may still refute the suspicion.
     Suspect,
-    /// It is taken for gone.
+    /// The member is considered dead.
     Dead,
 }
 
-/// News of one member.
+/// The state of one member, as sent between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The member.
@@ -33,56 +34,56 @@
     pub address: SocketAddr,
     /// Its availability zone.
     pub availability_zone: ZoneName,
-    /// Rises with each start and each refutation of the member.
+    /// The incarnation number; it rises with each start and each refutation of the member.
     pub number: u64,
-    /// What is said of it.
+    /// Its state.
     pub liveness: Liveness,
 }
 
-/// The use of one service, as it is sent.
+/// The encoded use of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseEntry {
     /// The service.
     pub service: ServiceName,
     /// How long ago it was last used, in milliseconds.
     pub ago_ms: u32,
-    /// Requests that are being served.
+    /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`].
+    /// Requests an [`Message::Ack`].
     Ping {
-        /// Returned in the answer.
+        /// The sequence number, returned in the reply.
         seq: u64,
-        /// News of members.
+        /// States of members.
         updates: Vec<Update>,
     },
-    /// Answers a ping.
+    /// Replies to a ping.
     Ack {
-        /// The ping's number.
+        /// The sequence number of the ping.
         seq: u64,
-        /// News of members.
+        /// States of members.
         updates: Vec<Update>,
     },
-    /// Asks the receiver to ping another member on the sender's behalf.
+    /// Requests an indirect probe: the receiver pings another member for the sender.
     PingFor {
-        /// Returned in the answer.
+        /// The sequence number, returned in the reply.
         seq: u64,
         /// The member to ping.
         address: SocketAddr,
-        /// News of members.
+        /// States of members.
         updates: Vec<Update>,
     },
     /// The sender has requests waiting for a service that the receiver coordinates.
     Wake {
         /// The service.
         service: ServiceName,
-        /// Requests that wait.
+        /// Waiting requests.
         waiting: u32,
-        /// Requests that are being served.
+        /// Requests in flight.
         in_flight: u32,
     },
     /// The sender has used services that the receiver coordinates.
@@ -97,7 +98,7 @@
     },
 }
 
-/// A message and who sent it.
+/// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender.
@@ -106,19 +107,19 @@
     pub message: Message,
 }
 
-/// Why a datagram was dropped.
+/// The reason why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Dropped {
-    /// It does not start like a peer's.
+pub enum DatagramError {
+    /// The first byte is not that of a peer's datagram.
     #[error("not a peer's datagram")]
-    Stray,
-    /// It has another version.
+    BadMagic,
+    /// The format version is not supported.
     #[error("version {0}")]
-    Version(u8),
-    /// It is longer than datagrams may be.
+    UnsupportedVersion(u8),
+    /// The datagram is longer than [`MAX_BYTES`].
     #[error("too long")]
     TooLong,
-    /// Its document does not parse, or bytes are left over.
+    /// The document does not parse or has trailing bytes.
     #[error("malformed")]
     Malformed,
 }
@@ -127,29 +128,29 @@
 ///
 /// # Errors
 ///
-/// Fails if the datagram would be too long.
-pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, Dropped> {
+/// Fails if the datagram would be longer than [`MAX_BYTES`].
+pub fn encode(envelope: &Envelope) -> Result<Vec<u8>, DatagramError> {
     let buf = vec![MAGIC, VERSION];
-    let buf = postcard::to_extend(envelope, buf).map_err(|_| Dropped::Malformed)?;
-    if buf.len() > MAX_BYTES { Err(Dropped::TooLong) } else { Ok(buf) }
+    let buf = postcard::to_extend(envelope, buf).map_err(|_| DatagramError::Malformed)?;
+    if buf.len() > MAX_BYTES { Err(DatagramError::TooLong) } else { Ok(buf) }
 }
 
 /// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// Fails with why it is dropped.
-pub fn decode(datagram: &[u8]) -> Result<Envelope, Dropped> {
+/// Fails with the reason to drop the datagram.
+pub fn decode(datagram: &[u8]) -> Result<Envelope, DatagramError> {
     if datagram.len() > MAX_BYTES {
-        return Err(Dropped::TooLong);
+        return Err(DatagramError::TooLong);
     }
     match datagram {
         [MAGIC, VERSION, document @ ..] => {
-            let (envelope, rest) =
-                postcard::take_from_bytes(document).map_err(|_| Dropped::Malformed)?;
-            if rest.is_empty() { Ok(envelope) } else { Err(Dropped::Malformed) }
+            let (envelope, trailing) =
+                postcard::take_from_bytes(document).map_err(|_| DatagramError::Malformed)?;
+            if trailing.is_empty() { Ok(envelope) } else { Err(DatagramError::Malformed) }
         }
-        [MAGIC, version, ..] => Err(Dropped::Version(*version)),
-        _ => Err(Dropped::Stray),
+        [MAGIC, version, ..] => Err(DatagramError::UnsupportedVersion(*version)),
+        _ => Err(DatagramError::BadMagic),
     }
 }
--- a/crates/tansyknot-gossip/src/node.rs
+++ b/crates/tansyknot-gossip/src/node.rs
@@ -1,4 +1,4 @@
-//! A daemon's socket for peers: membership rounds, demand messages, counts of what was dropped.
+//! A daemon's UDP socket for peers: membership probes, demand messages and datagram counters.
 
 use std::{
     collections::HashMap,
@@ -24,21 +24,21 @@
     message::{self, Envelope, MAX_BYTES, Message, Update, UseEntry},
 };
 
-/// How long a read of the socket waits; rounds are at most this late.
+/// Timeout of a socket read, which bounds the delay of probes.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// Coordinators remembered; beyond this all are found anew.
-const COORDINATORS: usize = 16 << 10;
-/// Uses in one datagram: names have up to 120 bytes.
-const USES: usize = 9;
+/// Capacity of the cache of coordinators, which is cleared when full.
+const MAX_CACHED_COORDINATORS: usize = 16 << 10;
+/// Maximum number of uses in one datagram, since service names have up to 120 bytes.
+const MAX_USES_PER_DATAGRAM: usize = 9;
 
-/// What a node has sent, received and dropped.
+/// Counters of datagrams sent, received and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams received and understood.
+    /// Datagrams received and decoded.
     pub received: u64,
     /// Datagrams dropped.
     pub dropped: u64,
@@ -47,29 +47,29 @@
 /// A coordinator and its address; `None` stands for this daemon.
 type Coordinator = Option<(DaemonName, SocketAddr)>;
 
-/// The coordinators found since the membership last changed.
+/// The coordinators determined since the last change of the membership.
 #[derive(Debug, Default)]
-struct Coordinators {
+struct CoordinatorCache {
     epoch: u64,
     services: HashMap<ServiceName, Coordinator>,
 }
 
-impl Coordinators {
-    fn keep_up_with(&mut self, epoch: u64) {
-        if self.epoch != epoch || self.services.len() >= COORDINATORS {
+impl CoordinatorCache {
+    fn clear_if_outdated(&mut self, epoch: u64) {
+        if self.epoch != epoch || self.services.len() >= MAX_CACHED_COORDINATORS {
             self.services.clear();
             self.epoch = epoch;
         }
     }
 }
 
-/// A daemon's node.
+/// The peer socket of a daemon with its membership and the uses of services.
 pub struct Node {
     socket: UdpSocket,
     clock: Arc<dyn Clock>,
     members: Mutex<Members>,
     interest: Mutex<Interest>,
-    coordinators: Mutex<Coordinators>,
+    coordinators: Mutex<CoordinatorCache>,
     listener: OnceLock<Arc<dyn PeerListener>>,
     sent: AtomicU64,
     sent_bytes: AtomicU64,
@@ -78,11 +78,11 @@
 }
 
 impl Node {
-    /// Binds the socket of `me`; port 0 takes any free one.
+    /// Binds the socket to the address of `me`; port 0 selects any free port.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be taken.
+    /// Fails if the socket can't be bound.
     pub fn bind(
         mut me: Myself,
         options: MembersOptions,
@@ -105,38 +105,38 @@
         })
     }
 
-    /// Returns where the node listens.
+    /// Returns the socket's local address.
     ///
     /// # Errors
     ///
-    /// Fails if the socket does not say.
+    /// Fails if the operating system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Sets who takes in what peers say about services.
+    /// Sets the listener that receives peers' messages about services.
     pub fn set_listener(&self, listener: Arc<dyn PeerListener>) {
-        // The daemon sets it once at the start; a second call would change nothing.
+        // The daemon sets the listener once at its start; a second call has no effect.
         let _ = self.listener.set(listener);
     }
 
-    /// Takes in daemons that the table lists.
+    /// Adds daemons that the table lists.
     pub fn join(&self, daemons: Vec<Update>) {
         let now = self.clock.now();
         self.members.lock().expect("no holder of the lock panics").join(daemons, now);
     }
 
-    /// Returns the daemons that answer, this one included.
+    /// Returns the live daemons, including this one.
     pub fn alive(&self) -> Vec<DaemonName> {
         self.members.lock().expect("no holder of the lock panics").alive().cloned().collect()
     }
 
-    /// Returns a number that rises whenever the set of daemons that answer may have changed.
+    /// Returns a number that rises whenever the set of live daemons may have changed.
     pub fn epoch(&self) -> u64 {
         self.members.lock().expect("no holder of the lock panics").epoch()
     }
 
-    /// Returns what has been sent, received and dropped.
+    /// Returns the datagram counters.
     pub fn counts(&self) -> Counts {
         Counts {
             sent: self.sent.load(Ordering::Relaxed),
@@ -146,11 +146,11 @@
         }
     }
 
-    /// Waits for one datagram for a moment, takes it in, and moves the rounds on.
+    /// Waits briefly for a datagram, handles it and advances the membership.
     pub fn turn(&self) {
         let mut buf = [0; MAX_BYTES + 1];
         if let Ok((length, from)) = self.socket.recv_from(&mut buf) {
-            self.take(&buf[..length], from);
+            self.handle_datagram(&buf[..length], from);
         }
         let now = self.clock.now();
         let out = {
@@ -160,12 +160,12 @@
         self.send_all(out);
     }
 
-    fn take(&self, datagram: &[u8], from: SocketAddr) {
+    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr) {
         let envelope = match message::decode(datagram) {
             Ok(envelope) => envelope,
             Err(dropped) => {
                 let count = self.dropped.fetch_add(1, Ordering::Relaxed) + 1;
-                // A flood of strays must not become a flood of log lines.
+                // Logging only powers of two keeps a flood of invalid datagrams from flooding the log.
                 if count.is_power_of_two() {
                     event::DATAGRAM_DROPPED.emit(&[("why", &dropped), ("count", &count)]);
                 }
@@ -175,18 +175,18 @@
         self.received.fetch_add(1, Ordering::Relaxed);
         match envelope.message {
             Message::Wake { service, waiting, in_flight } => {
-                self.note_interest(&service, &envelope.from);
+                self.record_interest(&service, &envelope.from);
                 let waiting = Waiting { waiting, in_flight };
-                self.tell(|l| l.hear_demand(&service, &envelope.from, waiting));
+                self.notify_listener(|l| l.hear_demand(&service, &envelope.from, waiting));
             }
             Message::Used { uses } => {
                 let uses = uses.into_iter().map(service_use).collect::<Vec<_>>();
                 for used in &uses {
-                    self.note_interest(&used.service, &envelope.from);
+                    self.record_interest(&used.service, &envelope.from);
                 }
-                self.tell(|l| l.hear_use(&envelope.from, &uses));
+                self.notify_listener(|l| l.hear_use(&envelope.from, &uses));
             }
-            Message::Changed { service } => self.tell(|l| l.hear_change(&service)),
+            Message::Changed { service } => self.notify_listener(|l| l.hear_change(&service)),
             other => {
                 let now = self.clock.now();
                 let out = {
@@ -198,13 +198,13 @@
         }
     }
 
-    fn note_interest(&self, service: &ServiceName, daemon: &DaemonName) {
+    fn record_interest(&self, service: &ServiceName, daemon: &DaemonName) {
         let now = self.clock.now();
         let mut interest = self.interest.lock().expect("no holder of the lock panics");
-        interest.note(service, daemon, now);
+        interest.record_use(service, daemon, now);
     }
 
-    fn tell(&self, f: impl FnOnce(&dyn PeerListener)) {
+    fn notify_listener(&self, f: impl FnOnce(&dyn PeerListener)) {
         if let Some(listener) = self.listener.get() {
             f(listener.as_ref());
         }
@@ -222,7 +222,7 @@
             members.me().clone()
         };
         let Ok(datagram) = message::encode(&Envelope { from, message }) else { return };
-        // A datagram that can't be sent is like one that was lost; every message allows for it.
+        // A datagram that can't be sent is treated as lost, which every message tolerates.
         if self.socket.send_to(&datagram, to).is_ok() {
             self.sent.fetch_add(1, Ordering::Relaxed);
             self.sent_bytes.fetch_add(datagram.len() as u64, Ordering::Relaxed);
@@ -232,14 +232,14 @@
     /// Returns the coordinator of a service and its address, `None` if it is this daemon.
     fn coordinator(&self, service: &ServiceName) -> Coordinator {
         let members = self.members.lock().expect("no holder of the lock panics");
-        let mut known = self.coordinators.lock().expect("no holder of the lock panics");
-        known.keep_up_with(members.epoch());
-        if let Some(found) = known.services.get(service) {
+        let mut cache = self.coordinators.lock().expect("no holder of the lock panics");
+        cache.clear_if_outdated(members.epoch());
+        if let Some(found) = cache.services.get(service) {
             return found.clone();
         }
         let daemon = peer::coordinator(service, members.alive());
         let found = daemon.and_then(|d| Some((d.clone(), members.address(d)?)));
-        known.services.insert(service.clone(), found.clone());
+        cache.services.insert(service.clone(), found.clone());
         found
     }
 }
@@ -267,8 +267,8 @@
             }
         }
         for (to, entries) in by_daemon {
-            for part in entries.chunks(USES) {
-                self.send(to, Message::Used { uses: part.to_vec() });
+            for chunk in entries.chunks(MAX_USES_PER_DATAGRAM) {
+                self.send(to, Message::Used { uses: chunk.to_vec() });
             }
         }
     }
@@ -283,7 +283,7 @@
             let members = self.members.lock().expect("no holder of the lock panics");
             daemons.iter().filter_map(|daemon| members.address(daemon)).collect()
         };
-        // A daemon that acted in the coordinator's place tells the coordinator first.
+        // The coordinator is included for changes that another daemon made in its place.
         addresses.extend(self.coordinator(service).map(|(_, to)| to));
         addresses.sort();
         addresses.dedup();
--- a/crates/tansyknot-gossip/tests/members.rs
+++ b/crates/tansyknot-gossip/tests/members.rs
@@ -1,4 +1,4 @@
-//! The membership in virtual time, and datagrams from anywhere.
+//! Tests of the membership in virtual time and of the decoding of arbitrary datagrams.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
 };
 use tansyknot_gossip::{
     members::{Members, MembersOptions, Myself, Outgoing},
-    message::{self, Dropped, Envelope, Liveness, Message, Update, UseEntry},
+    message::{self, DatagramError, Envelope, Liveness, Message, Update, UseEntry},
 };
 use yare::parameterized;
 
@@ -33,16 +33,16 @@
     }
 }
 
-struct Net {
+struct Network {
     daemons: BTreeMap<usize, Members>,
     /// Daemons that neither send nor receive.
-    cut: Vec<usize>,
+    isolated: Vec<usize>,
     now: Time,
     rng: StdRng,
     sent: u64,
 }
 
-impl Net {
+impl Network {
     fn new(count: usize) -> Self {
         let mut daemons = BTreeMap::new();
         for i in 0..count {
@@ -53,23 +53,23 @@
         }
         Self {
             daemons,
-            cut: Vec::new(),
+            isolated: Vec::new(),
             now: Time::default(),
             rng: StdRng::seed_from_u64(1),
             sent: 0,
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = self.now + Duration::from_millis(100);
             let ids: Vec<usize> = self.daemons.keys().copied().collect();
             for i in ids {
-                if self.cut.contains(&i) {
+                if self.isolated.contains(&i) {
                     continue;
                 }
-                let members = self.daemons.get_mut(&i).expect("it is there");
+                let members = self.daemons.get_mut(&i).expect("the daemon is in the network");
                 let out = members.tick(self.now, &mut self.rng);
                 self.deliver(i, out);
             }
@@ -81,12 +81,12 @@
         while let Some((from, o)) = queue.pop() {
             self.sent += 1;
             let to = usize::from(o.to.port()) - 10_000;
-            if self.cut.contains(&to) {
+            if self.isolated.contains(&to) {
                 continue;
             }
             let Some(members) = self.daemons.get_mut(&to) else { continue };
-            let answers = members.receive(address(from), o.message, self.now);
-            queue.extend(answers.into_iter().map(|a| (to, a)));
+            let replies = members.receive(address(from), o.message, self.now);
+            queue.extend(replies.into_iter().map(|a| (to, a)));
         }
     }
 
@@ -107,49 +107,53 @@
 
 #[parameterized(three = { 3 }, seven = { 7 }, forty = { 40 })]
 fn dead_daemon_is_known_dead_by_all(count: usize) {
-    let mut net = Net::new(count);
-    net.run(Duration::from_secs(10));
-    assert!((0..count).all(|i| net.alive_at(i) == count));
-    net.cut.push(0);
-    net.run(Duration::from_secs(30 + count as u64));
-    assert!((1..count).all(|i| net.alive_at(i) == count - 1));
+    let mut network = Network::new(count);
+    network.run(Duration::from_secs(10));
+    assert!((0..count).all(|i| network.alive_at(i) == count));
+    network.isolated.push(0);
+    network.run(Duration::from_secs(30 + count as u64));
+    assert!((1..count).all(|i| network.alive_at(i) == count - 1));
 }
 
 #[test]
 fn frozen_daemon_that_wakes_is_alive_again() {
-    let mut net = Net::new(7);
-    net.run(Duration::from_secs(5));
-    net.cut.push(3);
-    net.run(Duration::from_secs(20));
-    assert_eq!(net.alive_at(0), 6);
-    net.cut.clear();
-    net.run(Duration::from_secs(30));
-    assert!((0..7).all(|i| net.alive_at(i) == 7));
+    let mut network = Network::new(7);
+    network.run(Duration::from_secs(5));
+    network.isolated.push(3);
+    network.run(Duration::from_secs(20));
+    assert_eq!(network.alive_at(0), 6);
+    network.isolated.clear();
+    network.run(Duration::from_secs(30));
+    assert!((0..7).all(|i| network.alive_at(i) == 7));
 }
 
 #[test]
 fn restarted_daemon_is_alive_again_under_its_higher_number() {
-    let mut net = Net::new(5);
-    net.run(Duration::from_secs(5));
-    net.daemons.insert(2, member(2, 1000));
-    net.daemons.get_mut(&2).expect("it is there").join((0..5).map(update), net.now);
-    net.run(Duration::from_secs(30));
-    assert!((0..5).all(|i| net.alive_at(i) == 5));
+    let mut network = Network::new(5);
+    network.run(Duration::from_secs(5));
+    network.daemons.insert(2, member(2, 1000));
+    network
+        .daemons
+        .get_mut(&2)
+        .expect("the daemon is in the network")
+        .join((0..5).map(update), network.now);
+    network.run(Duration::from_secs(30));
+    assert!((0..5).all(|i| network.alive_at(i) == 5));
 }
 
 #[test]
-fn load_of_a_daemon_does_not_grow_with_their_number() {
+fn load_of_a_daemon_does_not_grow_with_the_membership() {
     let per_daemon = |count: usize| {
-        let mut net = Net::new(count);
-        net.run(Duration::from_secs(20));
-        net.sent as f64 / count as f64 / 20.0
+        let mut network = Network::new(count);
+        network.run(Duration::from_secs(20));
+        network.sent as f64 / count as f64 / 20.0
     };
     let (few, many) = (per_daemon(5), per_daemon(80));
     assert!(many <= few * 1.2, "{few} messages a second at 5, {many} at 80");
 }
 
 #[test]
-fn daemons_with_one_view_agree_on_the_coordinator_and_shares_are_even() {
+fn daemons_with_the_same_view_agree_on_coordinators_and_share_services_evenly() {
     let names: Vec<DaemonName> = (0..7).map(name).collect();
     let mut counts = BTreeMap::new();
     for i in 0..1400 {
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn fullest_messages_fit_a_datagram() {
+fn longest_message_fits_in_a_datagram() {
     let long = "x".repeat(120);
     let entry = || UseEntry {
         service: ServiceName::from(long.as_str()),
@@ -184,14 +188,14 @@
     assert!(message::decode(&good).is_ok());
     let mut version = good.clone();
     version[1] = 9;
-    assert_eq!(message::decode(&version), Err(Dropped::Version(9)));
+    assert_eq!(message::decode(&version), Err(DatagramError::UnsupportedVersion(9)));
     let mut longer = good.clone();
     longer.push(0);
-    assert_eq!(message::decode(&longer), Err(Dropped::Malformed));
-    assert_eq!(message::decode(&good[..good.len() - 1]), Err(Dropped::Malformed));
-    assert_eq!(message::decode(b"GET / HTTP/1.1"), Err(Dropped::Stray));
-    assert_eq!(message::decode(&[0; 2000]), Err(Dropped::TooLong));
-    assert_eq!(message::decode(&[]), Err(Dropped::Stray));
+    assert_eq!(message::decode(&longer), Err(DatagramError::Malformed));
+    assert_eq!(message::decode(&good[..good.len() - 1]), Err(DatagramError::Malformed));
+    assert_eq!(message::decode(b"GET / HTTP/1.1"), Err(DatagramError::BadMagic));
+    assert_eq!(message::decode(&[0; 2000]), Err(DatagramError::TooLong));
+    assert_eq!(message::decode(&[]), Err(DatagramError::BadMagic));
 }
 
 proptest! {
@@ -204,7 +208,7 @@
     #[test]
     fn any_bytes_are_decoded_or_dropped(mut bytes in prop::collection::vec(any::<u8>(), 0..1300)) {
         let _ = message::decode(&bytes);
-        // Bytes behind a right start reach the document's parser.
+        // Bytes after a valid magic and version byte reach the document's parser.
         if bytes.len() > 2 {
             bytes[0] = 0xd7;
             bytes[1] = message::VERSION;
