--- a/crates/tansyknot-http/src/body.rs
+++ b/crates/tansyknot-http/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request, read whole within a bound.
+//! Reads the body of a request up to a size limit.
 
 use std::io::{self, Read};
 
@@ -7,24 +7,24 @@
 
 use crate::{head::Framing, receive::Receiver};
 
-/// Reads the whole body.
+/// Reads the entire body.
 ///
 /// # Errors
 ///
-/// Fails if the body is longer than `limit`, too slow, malformed or cut off.
+/// Fails if the body is longer than `limit`, arrives too slowly, is malformed or ends early.
 pub fn read(rx: &mut Receiver, framing: Framing, limit: u64) -> Result<Vec<u8>, Refusal> {
     match framing {
         Framing::None => Ok(Vec::new()),
         Framing::Length(length) if length > limit => Err(too_large(limit)),
         Framing::Length(length) => {
             let mut body = Vec::new();
-            let n = rx.take(length).read_to_end(&mut body).map_err(|e| broken(&e))?;
-            if n as u64 == length { Ok(body) } else { Err(cut_off()) }
+            let n = rx.take(length).read_to_end(&mut body).map_err(|e| read_refusal(&e))?;
+            if n as u64 == length { Ok(body) } else { Err(truncated()) }
         }
         Framing::Chunked => {
             let mut body = Vec::new();
             let decoder = Decoder::new(rx);
-            decoder.take(limit + 1).read_to_end(&mut body).map_err(|e| broken(&e))?;
+            decoder.take(limit + 1).read_to_end(&mut body).map_err(|e| read_refusal(&e))?;
             if body.len() as u64 > limit { Err(too_large(limit)) } else { Ok(body) }
         }
     }
@@ -34,16 +34,16 @@
     Refusal::not_run(Reason::BodyTooLarge, format!("a body may have {limit} bytes"))
 }
 
-fn cut_off() -> Refusal {
+fn truncated() -> Refusal {
     Refusal::not_run(Reason::CallerLeft, "the body was cut off")
 }
 
-fn broken(e: &io::Error) -> Refusal {
+fn read_refusal(e: &io::Error) -> Refusal {
     match e.kind() {
         io::ErrorKind::TimedOut => Refusal::not_run(Reason::SlowSender, "the body came too slowly"),
         io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData => {
             Refusal::not_run(Reason::BadRequest, "a chunk is malformed")
         }
-        _ => cut_off(),
+        _ => truncated(),
     }
 }
--- a/crates/tansyknot-http/src/head.rs
+++ b/crates/tansyknot-http/src/head.rs
@@ -1,12 +1,12 @@
-//! The head of a request, parsed by `httparse` and checked for what the daemon takes.
+//! The head of a request, parsed by `httparse` and checked against the daemon's limits.
 
 use tansyknot_core::refusal::{Reason, Refusal};
 
-/// Header lines in one head.
+/// Maximum number of header lines in one head.
 const MAX_HEADERS: usize = 64;
 
-/// Lines that concern one connection only (RFC 9110, 7.6.1), beside those that `Connection` names.
-const OF_THE_CONNECTION: &[&str] = &[
+/// Hop-by-hop headers (RFC 9110, 7.6.1), in addition to those that `Connection` names.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -18,26 +18,28 @@
     "upgrade",
 ];
 
-/// Returns the lines that are passed on: those that don't concern one connection only, and the
-/// length of a body, which is written anew.
+/// Returns the headers to forward: all but the hop-by-hop headers and `Content-Length`, which is
+/// written anew.
 pub fn end_to_end(headers: &[(String, String)]) -> impl Iterator<Item = &(String, String)> + Clone {
-    let named = headers.iter().filter(|(n, _)| n == "connection").flat_map(|(_, v)| v.split(','));
-    let named: Vec<String> = named.map(|name| name.trim().to_ascii_lowercase()).collect();
+    let connection_options =
+        headers.iter().filter(|(n, _)| n == "connection").flat_map(|(_, v)| v.split(','));
+    let connection_options: Vec<String> =
+        connection_options.map(|name| name.trim().to_ascii_lowercase()).collect();
     headers.iter().filter(move |(name, _)| {
         name != "content-length"
-            && !OF_THE_CONNECTION.contains(&name.as_str())
-            && !named.contains(name)
+            && !HOP_BY_HOP_HEADERS.contains(&name.as_str())
+            && !connection_options.contains(name)
     })
 }
 
 /// How the body of a request is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The request has no body.
     None,
     /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body is sent in chunks.
     Chunked,
 }
 
@@ -50,42 +52,42 @@
     pub path: String,
     /// The query, without the question mark.
     pub query: String,
-    /// Path and query as they came, for passing on unchanged.
+    /// Path and query as received, for forwarding unchanged.
     pub target: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// Whether the connection may serve another request.
+    /// Whether the connection may be reused for another request.
     pub keep_alive: bool,
-    /// Whether the caller understands chunks.
+    /// Whether the request is HTTP/1.1, so that the caller accepts a chunked response.
     pub http_1_1: bool,
     /// How the body is framed.
     pub framing: Framing,
 }
 
 impl Head {
-    /// Returns the value of a header; `name` is in lower case.
+    /// Returns the value of a header; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// Tells whether the request said that it has a body, even an empty one.
+    /// Returns whether the request declares a body, even an empty one.
     pub fn has_body(&self) -> bool {
         self.framing != Framing::None
     }
 
-    /// Tells whether the caller waits for a word before it sends the body.
+    /// Returns whether the caller waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         self.header("expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
     }
 }
 
-/// Parses the head at the start of `buf`; `None` if it is not whole yet.
+/// Parses the head at the start of `buf`.
 ///
-/// Returns the head and its length in bytes.
+/// Returns the head and its length in bytes, `None` if the head is incomplete.
 ///
 /// # Errors
 ///
-/// Fails if the bytes can't become a request that the daemon takes.
+/// Fails if the bytes are not the start of a request that the daemon accepts.
 pub fn parse(buf: &[u8]) -> Result<Option<(Head, usize)>, Refusal> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut req = httparse::Request::new(&mut lines);
@@ -95,7 +97,7 @@
         Err(httparse::Error::TooManyHeaders) => {
             return Err(Refusal::not_run(Reason::HeadTooLarge, "too many header lines"));
         }
-        Err(e) => return Err(bad(e.to_string())),
+        Err(e) => return Err(bad_request(e.to_string())),
     };
     let http_1_1 = req.version == Some(1);
     let target = req.path.unwrap_or("/");
@@ -103,10 +105,10 @@
     let mut headers = Vec::with_capacity(req.headers.len());
     for line in req.headers.iter() {
         let value = std::str::from_utf8(line.value)
-            .map_err(|_| bad(format!("the value of {} is not text", line.name)))?;
+            .map_err(|_| bad_request(format!("the value of {} is not text", line.name)))?;
         headers.push((line.name.to_ascii_lowercase(), value.trim().to_owned()));
     }
-    reject_doubled(&headers)?;
+    reject_duplicates(&headers)?;
     let framing = framing(&headers)?;
     let keep_alive = keeps_alive(&headers, http_1_1);
     let head = Head {
@@ -122,8 +124,9 @@
     Ok(Some((head, length)))
 }
 
-/// Headers that decide who asks, what is asked and where a body ends may come only once.
-const SINGLE: &[&str] = &[
+/// Headers that may occur only once: they decide on the caller, the request's identity and deadline,
+/// and the end of the body.
+const SINGLETON_HEADERS: &[&str] = &[
     "authorization",
     "content-length",
     "transfer-encoding",
@@ -132,10 +135,10 @@
     "x-request-id",
 ];
 
-fn reject_doubled(headers: &[(String, String)]) -> Result<(), Refusal> {
-    for name in SINGLE {
+fn reject_duplicates(headers: &[(String, String)]) -> Result<(), Refusal> {
+    for name in SINGLETON_HEADERS {
         if headers.iter().filter(|(n, _)| n == name).count() > 1 {
-            return Err(bad(format!("{name} is there more than once")));
+            return Err(bad_request(format!("{name} is there more than once")));
         }
     }
     Ok(())
@@ -144,14 +147,17 @@
 fn framing(headers: &[(String, String)]) -> Result<Framing, Refusal> {
     let value = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
     match (value("transfer-encoding"), value("content-length")) {
-        // Two framings at once are how requests are smuggled past a proxy (RFC 9112, 6.1).
-        (Some(_), Some(_)) => Err(bad("content-length beside transfer-encoding")),
+        // Requests with both framings can be used for request smuggling (RFC 9112, 6.1).
+        (Some(_), Some(_)) => Err(bad_request("content-length beside transfer-encoding")),
         (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-        (Some(coding), None) => Err(bad(format!("transfer-encoding {coding} is not taken"))),
-        (None, Some(length)) if length.bytes().all(|b| b.is_ascii_digit()) => {
-            length.parse().map(Framing::Length).map_err(|_| bad("content-length is no number"))
+        (Some(coding), None) => {
+            Err(bad_request(format!("transfer-encoding {coding} is not taken")))
         }
-        (None, Some(_)) => Err(bad("content-length is no number")),
+        (None, Some(length)) if length.bytes().all(|b| b.is_ascii_digit()) => length
+            .parse()
+            .map(Framing::Length)
+            .map_err(|_| bad_request("content-length is no number")),
+        (None, Some(_)) => Err(bad_request("content-length is no number")),
         (None, None) => Ok(Framing::None),
     }
 }
@@ -165,6 +171,6 @@
     }
 }
 
-fn bad(detail: impl Into<String>) -> Refusal {
+fn bad_request(detail: impl Into<String>) -> Refusal {
     Refusal::not_run(Reason::BadRequest, detail)
 }
--- a/crates/tansyknot-http/src/lib.rs
+++ b/crates/tansyknot-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards callers: reading requests within bounds and writing answers.
+//! HTTP/1.1 server side towards callers: reads requests within limits and writes responses.
 
 pub mod body;
 pub mod events;
--- a/crates/tansyknot-http/src/presence.rs
+++ b/crates/tansyknot-http/src/presence.rs
@@ -1,13 +1,13 @@
-//! Whether a caller is still there.
+//! Detects callers that have disconnected.
 
 use std::net::TcpStream;
 
 use rustix::net::RecvFlags;
 
-/// Tells whether the other side has closed or reset the connection.
+/// Returns whether the caller has closed or reset the connection.
 ///
-/// A caller that only ends its sending side after the request is taken for one that left: HTTP
-/// clients do not do that while they wait for an answer.
+/// A caller that has only shut down its sending side counts as disconnected: HTTP clients do not
+/// do that while they wait for a response.
 pub fn has_left(stream: &TcpStream) -> bool {
     let mut probe = [0_u8; 1];
     match rustix::net::recv(stream, &mut probe, RecvFlags::PEEK | RecvFlags::DONTWAIT) {
--- a/crates/tansyknot-http/src/problem.rs
+++ b/crates/tansyknot-http/src/problem.rs
@@ -24,7 +24,7 @@
     retry_after_s: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     request_id: Option<&'a RequestId>,
-    /// Clients of the OpenAI interface read this member.
+    /// The error object that clients of the OpenAI API read.
     error: ErrorMember<'a>,
 }
 
@@ -55,10 +55,10 @@
             outcome: refusal.outcome,
         },
     };
-    serde_json::to_string(&problem).expect("a problem serializes without failure")
+    serde_json::to_string(&problem).expect("a problem document always serializes")
 }
 
-/// Makes the answer that tells a caller of a refusal.
+/// Creates the response to a refused request.
 pub fn answer(refusal: &Refusal, request: Option<&RequestId>) -> Whole {
     let mut headers = Vec::new();
     if let Some(s) = refusal.retry_after_s() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Makes the last event of a stream that could not be completed.
+/// Creates the last event of a stream that could not be completed.
 pub fn error_event(refusal: &Refusal, request: &RequestId) -> Vec<u8> {
     format!("event: error\ndata: {}\n\n", document(refusal, Some(request))).into_bytes()
 }
--- a/crates/tansyknot-http/src/receive.rs
+++ b/crates/tansyknot-http/src/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving bytes from a caller under a deadline.
+//! Receives bytes from a caller with a deadline.
 
 use std::{
     io::{self, Read},
@@ -7,12 +7,12 @@
 };
 
 use tansyknot_core::clock::BootInstant;
-/// Bytes read at once.
+/// Size of one read from the socket, in bytes.
 const READ_SIZE: usize = 4096;
 
-/// Reads from a caller's connection, through a buffer that survives requests.
+/// Reads from a caller's connection through a buffer that is kept between requests.
 ///
-/// Sockets know no virtual clock, so this module alone waits by the operating system's time.
+/// Socket timeouts can't use a virtual clock, so this module uses the operating system's time.
 #[derive(Debug)]
 pub struct Receiver {
     stream: TcpStream,
@@ -21,18 +21,18 @@
 }
 
 impl Receiver {
-    /// Makes a receiver that may wait until it is told otherwise.
+    /// Creates a receiver; its deadline has passed until [`Self::set_deadline`] is called.
     pub fn new(stream: TcpStream) -> Self {
         let deadline = BootInstant::now();
         Self { stream, buf: Vec::new(), deadline }
     }
 
-    /// Sets the time until which reads may wait.
-    pub fn allow(&mut self, span: Duration) {
-        self.deadline = BootInstant::now() + span;
+    /// Sets the deadline of reads to `timeout` from now.
+    pub fn set_deadline(&mut self, timeout: Duration) {
+        self.deadline = BootInstant::now() + timeout;
     }
 
-    /// Returns the bytes that are there and not consumed.
+    /// Returns the bytes received and not consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buf
     }
@@ -42,20 +42,20 @@
         self.buf.drain(..n);
     }
 
-    /// Reads more bytes into the buffer; returns how many, zero at the end.
+    /// Reads more bytes into the buffer; returns their number, zero at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Fails with [`io::ErrorKind::TimedOut`] past the deadline.
+    /// Fails if the read fails, with [`io::ErrorKind::TimedOut`] past the deadline.
     pub fn fill(&mut self) -> io::Result<usize> {
-        self.set_timeout()?;
+        self.apply_deadline()?;
         let mut chunk = [0; READ_SIZE];
         let n = self.stream.read(&mut chunk).map_err(timed_out)?;
         self.buf.extend_from_slice(&chunk[..n]);
         Ok(n)
     }
 
-    fn set_timeout(&self) -> io::Result<()> {
+    fn apply_deadline(&self) -> io::Result<()> {
         let left = self.deadline.duration_since(BootInstant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
@@ -67,7 +67,7 @@
 impl Read for Receiver {
     fn read(&mut self, out: &mut [u8]) -> io::Result<usize> {
         if self.buf.is_empty() {
-            self.set_timeout()?;
+            self.apply_deadline()?;
             return self.stream.read(out).map_err(timed_out);
         }
         let n = out.len().min(self.buf.len());
@@ -77,7 +77,7 @@
     }
 }
 
-/// A socket's timeout shows as `WouldBlock` on some systems.
+/// Maps `WouldBlock`, which some systems return for a socket timeout, to `TimedOut`.
 fn timed_out(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::WouldBlock => io::ErrorKind::TimedOut.into(),
--- a/crates/tansyknot-http/src/respond.rs
+++ b/crates/tansyknot-http/src/respond.rs
@@ -1,4 +1,4 @@
-//! Writing answers: whole ones and streams.
+//! Writes responses, complete or streamed.
 
 use std::{
     io::{self, Write},
@@ -7,38 +7,38 @@
 
 use chunked_transfer::Encoder;
 
-/// An answer that is written whole.
+/// A response with a complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Whole {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The content type.
     pub content_type: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What the connection does after an answer.
+/// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum After {
-    /// It waits for the next request.
+    /// The connection waits for the next request.
     KeepAlive,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// Writes a whole answer in one go.
+/// Writes a complete response with one call.
 ///
 /// # Errors
 ///
-/// Fails if the caller has left or does not read.
-pub fn write_whole(stream: &mut TcpStream, answer: &Whole, after: After) -> io::Result<()> {
-    let mut buf = Vec::with_capacity(256 + answer.body.len());
-    write_head(&mut buf, answer.status, &answer.content_type, &answer.headers, after);
-    buf.extend_from_slice(format!("content-length: {}\r\n\r\n", answer.body.len()).as_bytes());
-    buf.extend_from_slice(&answer.body);
+/// Fails if the caller has disconnected or does not read.
+pub fn write_whole(stream: &mut TcpStream, response: &Whole, after: After) -> io::Result<()> {
+    let mut buf = Vec::with_capacity(256 + response.body.len());
+    write_head(&mut buf, response.status, &response.content_type, &response.headers, after);
+    buf.extend_from_slice(format!("content-length: {}\r\n\r\n", response.body.len()).as_bytes());
+    buf.extend_from_slice(&response.body);
     stream.write_all(&buf)
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A streamed answer. Each write goes out at once as a chunk of its own.
+/// A streamed response; each write is sent immediately as one chunk.
 pub struct Streamed {
     stream: TcpStream,
     body: Option<Body>,
@@ -68,15 +68,15 @@
 
 enum Body {
     Chunked(Encoder<TcpStream>),
-    /// For callers of HTTP/1.0: the end of the connection ends the body.
+    /// For HTTP/1.0 callers: the end of the connection ends the body.
     Plain(TcpStream),
 }
 
-/// Starts a streamed answer.
+/// Writes the head of a streamed response.
 ///
 /// # Errors
 ///
-/// Fails if the caller has left.
+/// Fails if the caller has disconnected.
 pub fn start_stream(
     stream: &TcpStream,
     status: u16,
@@ -103,20 +103,20 @@
 }
 
 impl Streamed {
-    /// Sends a part of the body at once.
+    /// Sends a bytes of the body immediately.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has left or does not read.
-    pub fn send(&mut self, part: &[u8]) -> io::Result<()> {
+    /// Fails if the caller has disconnected or does not read.
+    pub fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         match &mut self.body {
-            Some(Body::Chunked(encoder)) => encoder.write_all(part),
-            Some(Body::Plain(out)) => out.write_all(part),
+            Some(Body::Chunked(encoder)) => encoder.write_all(bytes),
+            Some(Body::Plain(out)) => out.write_all(bytes),
             None => Err(io::ErrorKind::BrokenPipe.into()),
         }
     }
 
-    /// Ends the body cleanly.
+    /// Ends the body as complete.
     pub fn end(mut self) {
         // Dropping the encoder writes the last chunk.
         self.body = None;
@@ -126,18 +126,18 @@
 impl Drop for Streamed {
     fn drop(&mut self) {
         if self.body.is_some() {
-            // Without the last chunk the caller sees that the body is not whole. The connection
-            // is closed first, since the encoder would write that chunk when it is dropped.
+            // A missing last chunk shows the caller that the body is incomplete. The connection is
+            // shut down first because the encoder writes that chunk when it is dropped.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
     }
 }
 
-/// Writes the word that a caller with `Expect: 100-continue` waits for.
+/// Writes the interim response `100 Continue` for which a caller with `Expect: 100-continue` waits.
 ///
 /// # Errors
 ///
-/// Fails if the caller has left.
+/// Fails if the caller has disconnected.
 pub fn write_continue(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
 }
--- a/crates/tansyknot-http/src/server.rs
+++ b/crates/tansyknot-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections within bounds, a thread each, until the daemon drains.
+//! Accepts a limited number of connections, each with its own thread, until the daemon stops.
 
 use std::{
     io,
@@ -24,64 +24,66 @@
     respond::{self, After},
 };
 
-/// Stack of a connection's thread; no stage recurses.
+/// Stack size of a connection's thread; a small one suffices because no stage recurses.
 const STACK_BYTES: usize = 256 << 10;
-/// How often an idle connection looks whether the daemon drains.
-const IDLE_SLICE: Duration = Duration::from_millis(250);
-/// How often it looks if it is served while the daemon drains: each look wakes a thread.
-const KEPT_SLICE: Duration = Duration::from_millis(1000);
-/// A refused sender's remaining bytes are read away for this long, so that it sees the answer.
-const LINGER: Duration = Duration::from_millis(300);
-
-/// Bounds on connections.
+/// Interval at which an idle connection checks whether the daemon drains.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The same interval for connections that are served while the daemon drains. It is longer because
+/// each check wakes a thread.
+const KEPT_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Time for which the remaining bytes of a refused request are discarded, so that the sender
+/// receives the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Limits on connections and requests.
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
-    /// The longest head, in bytes.
+    /// Maximum length of a head, in bytes.
     pub head_bytes: u64,
-    /// The longest body, in bytes.
+    /// Maximum length of a body, in bytes.
     pub body_bytes: u64,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: u32,
-    /// How long a head or a body may take to arrive.
+    /// Timeout for receiving a head or a body.
     pub receive_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Timeout of an idle connection.
     pub idle_timeout: Duration,
-    /// How long a write may block.
+    /// Timeout of a write.
     pub write_timeout: Duration,
-    /// What a drain does to connections between requests.
+    /// What happens to connections between requests when the daemon drains.
     pub kept: KeptConnections,
 }
 
-/// What becomes of a connection that waits between two requests when the daemon drains.
+/// What happens to a connection between two requests when the daemon drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeptConnections {
-    /// It is closed at once.
+    /// The connection is closed at once.
     ClosedWhileDraining,
-    /// It stays until its next request, whose answer says that it is the last, or until the
-    /// daemon is ending.
+    /// The connection stays open until its next request, whose response closes it, or until the
+    /// daemon ends.
     ServedWhileDraining,
 }
 
-/// A request as received.
+/// A received request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// The head.
     pub head: Head,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Answers requests.
+/// Responds to requests.
 pub trait Handler: Send + Sync {
-    /// Answers one request on its connection and says what the connection does next.
+    /// Responds to one request on its connection; returns what happens to the connection next.
     ///
     /// # Errors
     ///
-    /// Fails if the caller has left.
+    /// Fails if the caller has disconnected.
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After>;
 }
 
-/// How far the daemon's stop is.
+/// The progress of the daemon's shutdown, with counts of connections and requests.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     draining: AtomicBool,
@@ -92,52 +94,52 @@
 }
 
 impl Lifecycle {
-    /// Says that connections are to be closed after their present request.
+    /// Starts the drain: connections are closed after their current request.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Says that requests that come now would not be finished in time.
+    /// Marks the point from which new requests would not finish before the daemon's end.
     pub fn end(&self) {
         self.ending.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether requests that come now would not be finished in time.
+    /// Returns whether new requests would not finish before the daemon's end.
     pub fn is_ending(&self) -> bool {
         self.ending.load(Ordering::SeqCst)
     }
 
-    /// Says that no new connection is taken.
+    /// Stops accepting connections.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether the daemon drains.
+    /// Returns whether the daemon drains.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Tells whether no new connection is taken.
+    /// Returns whether no new connections are accepted.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of connections.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> u32 {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of requests being received or answered.
+    /// Returns the number of requests being received or processed.
     pub fn busy(&self) -> u32 {
         self.busy.load(Ordering::SeqCst)
     }
 }
 
-/// Takes connections until the lifecycle is closed.
+/// Accepts connections until the lifecycle is closed.
 ///
 /// # Errors
 ///
-/// Fails if the listener does.
+/// Fails if accepting a connection fails permanently.
 pub fn serve(
     listener: &TcpListener,
     options: &ServerOptions,
@@ -147,14 +149,14 @@
     while !lifecycle.is_closed() {
         let (stream, _) = match listener.accept() {
             Ok(accepted) => accepted,
-            // One caller that vanished while it was accepted must not end the others' service.
+            // A caller that disconnects while it is accepted must not stop the server.
             Err(e) if is_transient(&e) => continue,
             Err(e) => return Err(e),
         };
         if lifecycle.is_closed() {
             return Ok(());
         }
-        take(stream, options, handler, lifecycle);
+        spawn_connection(stream, options, handler, lifecycle);
     }
     Ok(())
 }
@@ -165,35 +167,35 @@
         io::ErrorKind::ConnectionAborted
             | io::ErrorKind::ConnectionReset
             | io::ErrorKind::Interrupted
-    ) || out_of_files(e)
+    ) || pause_if_out_of_files(e)
 }
 
-fn out_of_files(e: &io::Error) -> bool {
+fn pause_if_out_of_files(e: &io::Error) -> bool {
     const EMFILE: i32 = 24;
     const ENFILE: i32 = 23;
     let full = matches!(e.raw_os_error(), Some(EMFILE | ENFILE));
     if full {
-        // Connections have to end before the next one can be taken.
+        // Other connections must end before another one can be accepted.
         thread::sleep(Duration::from_millis(20));
     }
     full
 }
 
-fn take(
+fn spawn_connection(
     mut stream: TcpStream,
     options: &ServerOptions,
     handler: &Arc<dyn Handler>,
     lifecycle: &Arc<Lifecycle>,
 ) {
     let before = lifecycle.connections.fetch_add(1, Ordering::SeqCst);
-    let guard = Guard::connection(lifecycle);
+    let guard = CountGuard::connection(lifecycle);
     if before >= options.connections {
         let refusal = Refusal::later(
             Reason::TooManyConnections,
             Duration::from_secs(1),
             "every connection is taken",
         );
-        let _ = stream.set_write_timeout(Some(LINGER));
+        let _ = stream.set_write_timeout(Some(LINGER_TIMEOUT));
         let _ = respond::write_whole(&mut stream, &problem::answer(&refusal, None), After::Close);
         return;
     }
@@ -205,39 +207,39 @@
         .stack_size(STACK_BYTES)
         .spawn(move || {
             let _guard = guard;
-            // An error here means that the caller has left; there is nobody to tell.
-            let _ = converse(stream, &options, handler.as_ref(), &lifecycle);
+            // An error means that the caller has disconnected, so nobody can receive a response.
+            let _ = serve_connection(stream, &options, handler.as_ref(), &lifecycle);
         });
-    // Without a thread the connection is dropped and the caller may try another daemon.
+    // If the thread can't be started, the connection is dropped and the caller may retry elsewhere.
     drop(spawned);
 }
 
-/// Counts a connection or a request for as long as it lives.
-struct Guard {
+/// Decrements the count of connections or requests when dropped.
+struct CountGuard {
     lifecycle: Arc<Lifecycle>,
     count: fn(&Lifecycle) -> &AtomicU32,
 }
 
-impl Guard {
-    /// Guards a connection that has been counted.
+impl CountGuard {
+    /// Creates a guard of a connection that is already counted.
     fn connection(lifecycle: &Arc<Lifecycle>) -> Self {
         Self { lifecycle: Arc::clone(lifecycle), count: |l| &l.connections }
     }
 
-    /// Counts a request.
+    /// Counts a request and creates its guard.
     fn request(lifecycle: &Arc<Lifecycle>) -> Self {
         lifecycle.busy.fetch_add(1, Ordering::SeqCst);
         Self { lifecycle: Arc::clone(lifecycle), count: |l| &l.busy }
     }
 }
 
-impl Drop for Guard {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.count)(&self.lifecycle).fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-fn converse(
+fn serve_connection(
     mut stream: TcpStream,
     options: &ServerOptions,
     handler: &dyn Handler,
@@ -246,10 +248,10 @@
     stream.set_nodelay(true)?;
     stream.set_write_timeout(Some(options.write_timeout))?;
     let mut rx = Receiver::new(stream.try_clone()?);
-    let mut age = Age::Fresh;
-    while await_request(&mut rx, options, lifecycle, age)? {
-        age = Age::Used;
-        let _busy = Guard::request(lifecycle);
+    let mut connection_use = ConnectionUse::Fresh;
+    while await_request(&mut rx, options, lifecycle, connection_use)? {
+        connection_use = ConnectionUse::Used;
+        let _busy = CountGuard::request(lifecycle);
         let req = match receive(&mut rx, &mut stream, options) {
             Ok(req) => req,
             Err(refusal) => return refuse(&mut rx, &mut stream, &refusal),
@@ -265,36 +267,36 @@
 
 /// Whether a connection has served a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Age {
+enum ConnectionUse {
     Fresh,
     Used,
 }
 
-/// Waits for the first byte of a request; `false` if the connection is to be closed.
+/// Waits for the first byte of a request; returns `false` if the connection must be closed.
 ///
-/// While the daemon drains, a used connection is closed between requests; a fresh one was opened
-/// by a caller that does not know yet, and its request is on the way.
+/// While the daemon drains, a used connection is closed between requests. A fresh connection stays
+/// open: the caller opened it without knowing of the drain and is about to send its request.
 fn await_request(
     rx: &mut Receiver,
     options: &ServerOptions,
     lifecycle: &Lifecycle,
-    age: Age,
+    connection_use: ConnectionUse,
 ) -> io::Result<bool> {
     let until = BootInstant::now() + options.idle_timeout;
     while rx.buffered().is_empty() {
-        let is_over = match age {
-            Age::Fresh => lifecycle.is_closed(),
-            Age::Used if options.kept == KeptConnections::ClosedWhileDraining => {
+        let must_close = match connection_use {
+            ConnectionUse::Fresh => lifecycle.is_closed(),
+            ConnectionUse::Used if options.kept == KeptConnections::ClosedWhileDraining => {
                 lifecycle.is_draining()
             }
-            Age::Used => lifecycle.is_ending(),
+            ConnectionUse::Used => lifecycle.is_ending(),
         };
-        if is_over || BootInstant::now() >= until {
+        if must_close || BootInstant::now() >= until {
             return Ok(false);
         }
-        rx.allow(match options.kept {
-            KeptConnections::ClosedWhileDraining => IDLE_SLICE,
-            KeptConnections::ServedWhileDraining => KEPT_SLICE,
+        rx.set_deadline(match options.kept {
+            KeptConnections::ClosedWhileDraining => IDLE_CHECK_INTERVAL,
+            KeptConnections::ServedWhileDraining => KEPT_CHECK_INTERVAL,
         });
         match rx.fill() {
             Ok(0) => return Ok(false),
@@ -311,13 +313,13 @@
     stream: &mut TcpStream,
     options: &ServerOptions,
 ) -> Result<Request, Refusal> {
-    rx.allow(options.receive_timeout);
+    rx.set_deadline(options.receive_timeout);
     let head = receive_head(rx, options.head_bytes)?;
     if head.expects_continue() {
         respond::write_continue(stream)
             .map_err(|_| Refusal::not_run(Reason::CallerLeft, "the caller left"))?;
     }
-    rx.allow(options.receive_timeout);
+    rx.set_deadline(options.receive_timeout);
     let body = body::read(rx, head.framing, options.body_bytes)?;
     Ok(Request { head, body })
 }
@@ -349,15 +351,15 @@
     Refusal::not_run(Reason::HeadTooLarge, format!("a head may have {limit} bytes"))
 }
 
-/// Answers a request that was not received whole, and closes.
+/// Sends the refusal of a request that was not received completely and closes the connection.
 fn refuse(rx: &mut Receiver, stream: &mut TcpStream, refusal: &Refusal) -> io::Result<()> {
     if refusal.reason == Reason::CallerLeft {
         return Ok(());
     }
     respond::write_whole(stream, &problem::answer(refusal, None), After::Close)?;
     stream.shutdown(std::net::Shutdown::Write)?;
-    // Closing with unread bytes would reset the connection and the answer with it.
-    rx.allow(LINGER);
+    // Closing a socket with unread bytes resets the connection, which discards the response.
+    rx.set_deadline(LINGER_TIMEOUT);
     while let Ok(1..) = rx.fill() {
         let n = rx.buffered().len();
         rx.consume(n);
