--- a/crates/tansyknot-policy/examples/replay/world.rs
+++ b/crates/tansyknot-policy/examples/replay/world.rs
@@ -458,7 +458,7 @@
     fn is_prewarm_time(&self, id: usize, plan: &Plan) -> bool {
         let Some(last_us) = self.services[id].last_use_us else { return false };
         let idle = Duration::from_micros(self.now_us - last_us);
-        plan.prewarm.is_some_and(|(from, span)| idle >= from && idle < from + span)
+        plan.prewarm.is_some_and(|(from, duration)| idle >= from && idle < from + duration)
     }
 
     fn remove_idle(&mut self, id: usize, plan: &Plan) {
@@ -483,14 +483,14 @@
     fn schedule(&mut self, id: usize, plan: &Plan) {
         let s = &self.services[id];
         let Some(last_us) = s.last_use_us else { return };
-        let after = |span: Duration| last_us.saturating_add(span.as_micros() as u64);
+        let after = |elapsed: Duration| last_us.saturating_add(elapsed.as_micros() as u64);
         let mut times = Vec::new();
         if !s.replicas.is_empty() {
             times.push(after(plan.keep));
             times.push(after(MIN_KEEP));
         }
-        if let Some((from, span)) = plan.prewarm {
-            times.extend([after(from), after(from + span)]);
+        if let Some((from, duration)) = plan.prewarm {
+            times.extend([after(from), after(from + duration)]);
         }
         if !s.waiting.is_empty() {
             times.push(self.now_us + 500_000);
--- a/crates/tansyknot-policy/src/retention.rs
+++ b/crates/tansyknot-policy/src/retention.rs
@@ -68,7 +68,7 @@
 
 impl Retention for LeastCost {
     fn plan(&self, gaps: &Gaps, options: &RetentionOptions) -> Plan {
-        let clamp = |span: Duration| span.clamp(options.at_least, options.at_most);
+        let clamp = |ttl: Duration| ttl.clamp(options.at_least, options.at_most);
         if gaps.len() < MIN_GAPS {
             return Plan { keep: clamp(options.cold_start_worth), prewarm: None };
         }
@@ -89,16 +89,16 @@
 fn best_keep(sorted: &[u32], worth: f64, options: &RetentionOptions) -> (f64, f64) {
     let shortest = options.at_least.as_secs_f64();
     let longest = options.at_most.as_secs_f64();
-    let spans = sorted.iter().map(|&gap| f64::from(gap) + 1.0).filter(|&s| s <= longest);
-    let spans = std::iter::once(shortest).chain(spans.filter(|&s| s > shortest));
-    let costed = spans.map(|span| (span, keep_cost(sorted, span, worth)));
+    let candidates = sorted.iter().map(|&gap| f64::from(gap) + 1.0).filter(|&s| s <= longest);
+    let candidates = std::iter::once(shortest).chain(candidates.filter(|&s| s > shortest));
+    let costed = candidates.map(|ttl| (ttl, keep_cost(sorted, ttl, worth)));
     costed.min_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((shortest, f64::MAX))
 }
 
-fn keep_cost(sorted: &[u32], span: f64, worth: f64) -> f64 {
+fn keep_cost(sorted: &[u32], ttl: f64, worth: f64) -> f64 {
     let cost = |&gap: &u32| {
         let gap = f64::from(gap);
-        if gap <= span { gap } else { span + worth }
+        if gap <= ttl { gap } else { ttl + worth }
     };
     sorted.iter().map(cost).sum()
 }
--- a/crates/tansyknot-policy/tests/decisions.rs
+++ b/crates/tansyknot-policy/tests/decisions.rs
@@ -149,9 +149,9 @@
     let plan =
         LeastCost.plan(&gaps(&[1800, 1802, 1799, 1801, 1800, 1798, 1803, 1800]), &options(900));
     assert_eq!(plan.keep, s(10));
-    let (from, span) = plan.prewarm.expect("a periodic pattern has a prewarm window");
+    let (from, duration) = plan.prewarm.expect("a periodic pattern has a prewarm window");
     assert!(from < s(1795) && from > s(1780), "{from:?}");
-    assert!(from + span >= s(1803) && span < s(60), "{span:?}");
+    assert!(from + duration >= s(1803) && duration < s(60), "{duration:?}");
 }
 
 #[test]
