--- a/crates/tansyknot-edge/src/explain.rs
+++ b/crates/tansyknot-edge/src/explain.rs
@@ -1,4 +1,4 @@
-//! What was decided for each of the latest requests, for operators who ask why.
+//! The decisions about the latest requests, which operators can query.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -13,78 +13,85 @@
     refusal::{Outcome, Reason},
 };
 
-/// Requests remembered.
-const REMEMBERED: usize = 4096;
+/// The number of requests whose trails are retained.
+const MAX_TRAILS: usize = 4096;
 
-/// One decision.
+/// A decision about a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
-    /// The key named this caller.
+    /// The key belongs to this caller.
     Identified(CallerName),
     /// This rule is in force for the service.
     Ruled(RuleName),
-    /// The request carries a key and runs at most once.
+    /// The request's idempotency key was claimed, so the request runs at most once.
     KeyTaken,
     /// The request waited for a replica.
     Queued,
     /// A target was chosen.
     Placed(TargetName),
-    /// An attempt was begun.
+    /// An attempt was started.
     Attempted(AttemptId),
-    /// The attempt failed before the target started.
+    /// The attempt failed before the target started the request.
     NotStarted(&'static str),
-    /// The attempt failed after bytes had left.
+    /// The attempt failed after bytes may have been sent.
     Broken(&'static str),
-    /// A broken stream was taken up again after this many events.
+    /// A broken stream was resumed after this many events.
     Resumed(u64),
-    /// The whole answer was given.
+    /// The full response was sent, with this status.
     Answered(u16),
     /// The request was refused.
     Refused(Reason, Outcome),
 }
 
-/// A decision and when it was taken.
+/// A decision and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Step {
     /// Microseconds after the request was received.
     pub after_us: u64,
-    /// What was decided.
+    /// The decision.
     pub decision: Decision,
 }
 
-/// All decisions for one request.
+/// All decisions about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Trail {
     /// The request.
     pub request: RequestId,
-    /// The daemon that decided.
+    /// The daemon that processed the request.
     pub daemon: DaemonName,
-    /// The version of the configuration it had in force.
+    /// The version of the configuration in force at the daemon.
     pub config_version: ConfigVersion,
-    /// The service, once known.
+    /// The service, once it is identified.
     pub service: Option<ServiceName>,
-    /// The decisions in order.
+    /// The decisions, in order.
     pub steps: Vec<Step>,
     #[serde(skip)]
-    began: Time,
+    received_at: Time,
 }
 
 impl Trail {
-    /// Begins the trail of a request.
+    /// Creates the trail of a request received at `now`.
     pub fn new(request: RequestId, daemon: DaemonName, config: ConfigVersion, now: Time) -> Self {
-        Self { request, daemon, config_version: config, service: None, steps: vec![], began: now }
+        Self {
+            request,
+            daemon,
+            config_version: config,
+            service: None,
+            steps: vec![],
+            received_at: now,
+        }
     }
 
     /// Adds a decision.
     pub fn add(&mut self, now: Time, decision: Decision) {
-        let after_us = u64::try_from(now.since(self.began).as_micros()).unwrap_or(u64::MAX);
+        let after_us = u64::try_from(now.since(self.received_at).as_micros()).unwrap_or(u64::MAX);
         self.steps.push(Step { after_us, decision });
     }
 }
 
 #[derive(Default)]
-struct Kept {
+struct RecentTrails {
     order: VecDeque<RequestId>,
     trails: HashMap<RequestId, Trail>,
 }
@@ -92,24 +99,24 @@
 /// The trails of the latest requests.
 #[derive(Default)]
 pub struct Explainer {
-    kept: Mutex<Kept>,
+    recent: Mutex<RecentTrails>,
 }
 
 impl Explainer {
-    /// Keeps a trail in place of the oldest.
-    pub fn keep(&self, trail: Trail) {
-        let mut kept = self.kept.lock().expect("no holder of the lock panics");
-        if kept.order.len() == REMEMBERED
-            && let Some(oldest) = kept.order.pop_front()
+    /// Stores a trail, in place of the oldest if there are too many.
+    pub fn record(&self, trail: Trail) {
+        let mut recent = self.recent.lock().expect("the lock is not poisoned");
+        if recent.order.len() == MAX_TRAILS
+            && let Some(oldest) = recent.order.pop_front()
         {
-            kept.trails.remove(&oldest);
+            recent.trails.remove(&oldest);
         }
-        kept.order.push_back(trail.request.clone());
-        kept.trails.insert(trail.request.clone(), trail);
+        recent.order.push_back(trail.request.clone());
+        recent.trails.insert(trail.request.clone(), trail);
     }
 
-    /// Returns the trail of a request that is still remembered.
+    /// Returns the trail of a request, if it is still retained.
     pub fn trail(&self, request: &RequestId) -> Option<Trail> {
-        self.kept.lock().expect("no holder of the lock panics").trails.get(request).cloned()
+        self.recent.lock().expect("the lock is not poisoned").trails.get(request).cloned()
     }
 }
--- a/crates/tansyknot-edge/src/gateway.rs
+++ b/crates/tansyknot-edge/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The pipeline: one request from its head to its account.
+//! The request pipeline, from the head of a request to the record of its end.
 
 mod answers;
 mod keys;
@@ -38,25 +38,25 @@
         account::{self, Account, Ended},
         admit::CallerGate,
         attempt::Failure,
-        identify::{self, Identified, Route},
+        identify::{self, IdentifiedRequest, Route},
     },
-    upstream::{self, Reuse},
+    upstream::{self, ConnectionReuse},
     watch::CallerWatch,
 };
 
-/// Orders to engines that a request gives rise to.
+/// Orders to engines that the pipeline issues while it processes requests.
 pub trait Replicas: Send + Sync {
-    /// Takes in that an engine did not have a model that a row said was ready.
+    /// Reports that an engine does not have a model that is ready according to its replica row.
     fn not_loaded(&self, service: &ServiceName);
 
-    /// Has the engine on `target` cancel an attempt whose caller has left.
+    /// Makes the engine on `target` cancel an attempt whose caller has left.
     fn cancel(&self, target: &Target, attempt: &AttemptId);
 
-    /// Has an adapter loaded beside its model on `target`.
+    /// Loads an adapter with its model on `target`.
     ///
     /// # Errors
     ///
-    /// Fails if the engine refuses or does not answer.
+    /// Fails if the engine refuses or does not respond.
     fn load_adapter(
         &self,
         target: &Target,
@@ -65,7 +65,7 @@
     ) -> tansyknot_core::Result<()>;
 }
 
-/// What the pipeline works with.
+/// The dependencies of the pipeline.
 pub struct Parts {
     /// The configuration in force.
     pub config: Arc<ConfigView>,
@@ -73,21 +73,21 @@
     pub hosts: Arc<HostView>,
     /// The pools of this daemon.
     pub pools: Arc<Pools>,
-    /// Opens targets to requests.
+    /// Adds targets to the pools.
     pub publisher: Arc<Publisher>,
     /// The table service, for idempotency keys.
     pub table: Arc<dyn Table>,
-    /// Orders to engines.
+    /// Issues orders to engines.
     pub replicas: Arc<dyn Replicas>,
-    /// Where figures go.
+    /// The recorder of metrics.
     pub recorder: Arc<dyn Recorder>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
-    /// How far the stop is.
+    /// The state of the server's shutdown.
     pub lifecycle: Arc<Lifecycle>,
-    /// The decisions for the latest requests.
+    /// The decisions about the latest requests.
     pub explainer: Arc<Explainer>,
-    /// The callers with an attempt under way.
+    /// Watches the callers with an attempt in progress.
     pub watch: Arc<CallerWatch>,
 }
 
@@ -96,62 +96,62 @@
 pub struct GatewayOptions {
     /// The name of this daemon.
     pub daemon: DaemonName,
-    /// This run of it.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that may wait for one service.
+    /// The maximum number of requests that wait for one service.
     pub waiting_max: usize,
-    /// The longest deadline.
+    /// The maximum deadline.
     pub deadline_max: Duration,
 }
 
-/// The pipeline.
+/// The request pipeline.
 pub struct Gateway {
     parts: Parts,
     options: GatewayOptions,
     callers: CallerGate,
     target_retries: Mutex<HashMap<TargetName, RetryBudget>>,
-    pooled: ureq::Agent,
-    fresh: ureq::Agent,
+    pooled_agent: ureq::Agent,
+    fresh_agent: ureq::Agent,
 }
 
-/// One request on its way through the pipeline.
-struct Run<'a> {
+/// A request in the pipeline.
+struct ActiveRequest<'a> {
     req: &'a Request,
-    request: RequestId,
+    request_id: RequestId,
     stream: &'a Arc<TcpStream>,
     after: After,
     span: Span,
     account: Account,
 }
 
-/// What the pipeline has written to the caller.
-enum Written {
-    /// Nothing: the answer is still to be written.
-    Nothing(Whole),
-    /// The whole answer, as a stream.
-    Stream(u16),
-    /// A part of a stream and an error event.
-    Part(Refusal),
+/// The state of the response to the caller after an attempt.
+enum CallerResponse {
+    /// The full response has been read but not yet written to the caller.
+    Pending(Whole),
+    /// The full response has been written as a stream.
+    Streamed(u16),
+    /// A part of a stream has been written, followed by an error event.
+    Partial(Refusal),
 }
 
-/// What became of one attempt.
-enum Tried {
-    Written(Written),
+/// The outcome of one attempt.
+enum AttemptOutcome {
+    Responded(CallerResponse),
     Failed(Failure),
 }
 
 impl Gateway {
-    /// Makes the pipeline.
+    /// Creates the pipeline.
     pub fn new(parts: Parts, options: GatewayOptions) -> Self {
         Self {
             parts,
             options,
             callers: CallerGate::default(),
             target_retries: Mutex::default(),
-            pooled: upstream::agent(Reuse::Pooled),
-            fresh: upstream::agent(Reuse::Fresh),
+            pooled_agent: upstream::agent(ConnectionReuse::Pooled),
+            fresh_agent: upstream::agent(ConnectionReuse::Fresh),
         }
     }
 
@@ -159,89 +159,101 @@
         self.parts.clock.now()
     }
 
-    /// Takes a request through identify, admit, place, attempt and relay.
-    fn run(&self, run: &mut Run<'_>, route: &Route) -> Result<Written, Refusal> {
+    /// Runs the stages identify, admit, place, attempt and relay for a request.
+    fn process(
+        &self,
+        active: &mut ActiveRequest<'_>,
+        route: &Route,
+    ) -> Result<CallerResponse, Refusal> {
         let now = self.now();
-        let req = self.identify(run, route, now)?;
+        let req = self.identify(active, route, now)?;
         let permit = self.callers.enter(&req.caller, now)?;
         let mut key = None;
-        let result = self.try_targets(run, &req, &permit, &mut key);
+        let result = self.try_targets(active, &req, &permit, &mut key);
         self.settle_key(&result, key);
-        if let Ok(Written::Nothing(_) | Written::Stream(_)) = &result {
+        if let Ok(CallerResponse::Pending(_) | CallerResponse::Streamed(_)) = &result {
             permit.success();
         }
         result
     }
 
-    fn identify(&self, run: &mut Run<'_>, route: &Route, now: Time) -> Result<Identified, Refusal> {
+    fn identify(
+        &self,
+        active: &mut ActiveRequest<'_>,
+        route: &Route,
+        now: Time,
+    ) -> Result<IdentifiedRequest, Refusal> {
         let max = self.options.deadline_max;
         let req = self.parts.config.with(|store| {
-            let caller = identify::caller(store, &run.req.head)?;
-            run.account.trail.add(now, Decision::Identified(caller.name.clone()));
-            identify::identify(store, caller, route, run.req, now, max)
+            let caller = identify::caller(store, &active.req.head)?;
+            active.account.trail.add(now, Decision::Identified(caller.name.clone()));
+            identify::identify(store, caller, route, active.req, now, max)
         })?;
-        run.account.trail.service = Some(req.service.clone());
-        run.account.trail.add(now, Decision::Ruled(req.rule.name.clone()));
+        active.account.trail.service = Some(req.service.clone());
+        active.account.trail.add(now, Decision::Ruled(req.rule.name.clone()));
         Ok(req)
     }
 
-    /// Writes what is still to be written and closes the account.
+    /// Writes the response if it is not written yet, and records the end of the request.
     fn finish(
         &self,
-        run: Run<'_>,
-        result: Result<Written, Refusal>,
+        active: ActiveRequest<'_>,
+        result: Result<CallerResponse, Refusal>,
         stream: &mut TcpStream,
     ) -> io::Result<After> {
-        let (ended, written) = match result {
-            Ok(Written::Nothing(whole)) => {
+        let (end, write_result) = match result {
+            Ok(CallerResponse::Pending(whole)) => {
                 let status = whole.status;
-                let written = respond::write_whole(stream, &whole, run.after);
-                (Ended::Answered(status), written.map(|()| run.after))
+                let write_result = respond::write_whole(stream, &whole, active.after);
+                (Ended::Answered(status), write_result.map(|()| active.after))
+            }
+            Ok(CallerResponse::Streamed(status)) => {
+                (Ended::Answered(status), Ok(self.after_stream(&active)))
             }
-            Ok(Written::Stream(status)) => (Ended::Answered(status), Ok(self.after_stream(&run))),
-            Ok(Written::Part(refusal)) => (Ended::Refused(refusal), Ok(After::Close)),
+            Ok(CallerResponse::Partial(refusal)) => (Ended::Refused(refusal), Ok(After::Close)),
             Err(refusal) if refusal.reason == Reason::CallerLeft => {
                 (Ended::Refused(refusal), Ok(After::Close))
             }
             Err(refusal) => {
-                let answer = problem::answer(&refusal, Some(&run.request));
-                let written = respond::write_whole(stream, &answer, run.after);
-                (Ended::Refused(refusal), written.map(|()| run.after))
+                let response = problem::answer(&refusal, Some(&active.request_id));
+                let write_result = respond::write_whole(stream, &response, active.after);
+                (Ended::Refused(refusal), write_result.map(|()| active.after))
             }
         };
         let recorder = self.parts.recorder.as_ref();
-        account::close(recorder, &self.parts.explainer, run.account, &ended, self.now());
-        written
+        account::record_end(recorder, &self.parts.explainer, active.account, &end, self.now());
+        write_result
     }
 
-    fn after_stream(&self, run: &Run<'_>) -> After {
-        if run.req.head.http_1_1 { run.after } else { After::Close }
+    fn after_stream(&self, active: &ActiveRequest<'_>) -> After {
+        if active.req.head.http_1_1 { active.after } else { After::Close }
     }
 }
 
 impl Handler for Gateway {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
         let now = self.now();
-        let request = RequestId::new(name::random_id());
+        let request_id = RequestId::new(name::random_id());
         let parent = req.head.header("traceparent").and_then(SpanContext::decode_w3c_traceparent);
         let span = Span::root("request", parent.unwrap_or_else(SpanContext::random))
-            .with_property(|| ("request", request.to_string()));
+            .with_property(|| ("request", request_id.to_string()));
         let version = self.parts.config.version();
-        let trail = Trail::new(request.clone(), self.options.daemon.clone(), version, now);
+        let trail = Trail::new(request_id.clone(), self.options.daemon.clone(), version, now);
         let shared = Arc::new(stream.try_clone()?);
-        let account = Account { trail, began: now, first_part: None, queued: false };
-        let mut run = Run { req: &req, request, stream: &shared, after, span, account };
-        let result = match identify::route(&run.req.head) {
+        let account = Account { trail, received_at: now, first_part_at: None, queued: false };
+        let mut active =
+            ActiveRequest { req: &req, request_id, stream: &shared, after, span, account };
+        let result = match identify::route(&active.req.head) {
             Ok(Route::Health) => {
                 let health = self.health();
                 respond::write_whole(stream, &health, after)?;
                 return Ok(after);
             }
-            Ok(Route::Models) => self.models(&run).map(Written::Nothing),
-            Ok(route) => self.run(&mut run, &route),
+            Ok(Route::Models) => self.models(&active).map(CallerResponse::Pending),
+            Ok(route) => self.process(&mut active, &route),
             Err(refusal) => Err(refusal),
         };
-        self.finish(run, result, stream)
+        self.finish(active, result, stream)
     }
 }
 
--- a/crates/tansyknot-edge/src/gateway/answers.rs
+++ b/crates/tansyknot-edge/src/gateway/answers.rs
@@ -1,109 +1,121 @@
-//! Passing an answer on: whole, or as a stream that is taken up again if it breaks.
+//! Relays responses to callers: in full, or as a stream that is resumed if it breaks.
 
 use fastrace::prelude::Span;
 use tansyknot_core::refusal::{Reason, Refusal};
 
-use super::{Gateway, Run, Tried, Written, caller_left};
+use super::{ActiveRequest, AttemptOutcome, CallerResponse, Gateway, caller_left};
 use crate::{
     explain::Decision,
     problem,
     stage::{
-        attempt::{self, Answer, Attempt, Failure},
-        identify::Kind,
-        relay::{self, End, Ending, EventRelay},
+        attempt::{self, Attempt, Failure, TargetResponse},
+        identify::ServiceKind,
+        relay::{self, EndMarker, EventRelay, StreamEnd},
     },
 };
 
-/// Times that a broken stream is taken up again.
+/// The maximum number of resumptions of a broken stream.
 const MAX_RESUMES: u32 = 2;
 
 impl Gateway {
     pub(super) fn relay(
         &self,
-        run: &mut Run<'_>,
+        active: &mut ActiveRequest<'_>,
         attempt: &Attempt<'_>,
-        answer: Answer,
-    ) -> Result<Tried, Refusal> {
-        let _span = Span::enter_with_parent("relay", &run.span);
-        if relay::is_stream(&answer) {
-            return self.relay_stream(run, attempt, answer);
+        response: TargetResponse,
+    ) -> Result<AttemptOutcome, Refusal> {
+        let _span = Span::enter_with_parent("relay", &active.span);
+        if relay::is_stream(&response) {
+            return self.relay_stream(active, attempt, response);
         }
-        match relay::read_whole(answer, &run.request) {
+        match relay::read_full(response, &active.request_id) {
             Ok(whole) => {
-                run.account.first_part = Some(self.now());
-                Ok(Tried::Written(Written::Nothing(whole)))
+                active.account.first_part_at = Some(self.now());
+                Ok(AttemptOutcome::Responded(CallerResponse::Pending(whole)))
             }
-            Err(_) if attempt.wire.is_cut() => Err(caller_left()),
+            Err(_) if attempt.handle.is_aborted() => Err(caller_left()),
             Err(_) if self.now() >= attempt.identified.deadline => {
-                Ok(Tried::Failed(Failure::TimedOut))
+                Ok(AttemptOutcome::Failed(Failure::TimedOut))
             }
-            Err(_) => Ok(Tried::Failed(Failure::Broken)),
+            Err(_) => Ok(AttemptOutcome::Failed(Failure::Broken)),
         }
     }
 
     fn relay_stream(
         &self,
-        run: &mut Run<'_>,
+        active: &mut ActiveRequest<'_>,
         attempt: &Attempt<'_>,
-        answer: Answer,
-    ) -> Result<Tried, Refusal> {
-        let ending = match attempt.identified.kind {
-            Kind::Model => Ending::Done,
-            Kind::Plain => Ending::EndOfBody,
+        response: TargetResponse,
+    ) -> Result<AttemptOutcome, Refusal> {
+        let end_marker = match attempt.identified.kind {
+            ServiceKind::Model => EndMarker::DoneEvent,
+            ServiceKind::Plain => EndMarker::EndOfBody,
         };
-        let status = answer.status().as_u16();
-        let mut events = EventRelay::new(ending);
-        let http_1_1 = run.req.head.http_1_1;
-        let begun = events.begin(&answer, &run.request, run.stream, http_1_1, run.after);
-        begun.map_err(|_| caller_left())?;
-        let mut answer = Some(answer);
+        let status = response.status().as_u16();
+        let mut relay = EventRelay::new(end_marker);
+        let http_1_1 = active.req.head.http_1_1;
+        let started =
+            relay.begin(&response, &active.request_id, active.stream, http_1_1, active.after);
+        started.map_err(|_| caller_left())?;
+        let mut response = Some(response);
         for resumes in 0..=MAX_RESUMES {
-            let Some(part) = answer.take() else { break };
+            let Some(part) = response.take() else { break };
             let clock = &self.parts.clock;
-            let first = &mut run.account.first_part;
-            let end = events.pass(part, || {
-                first.get_or_insert_with(|| clock.now());
+            let first_part_at = &mut active.account.first_part_at;
+            let end = relay.relay(part, || {
+                first_part_at.get_or_insert_with(|| clock.now());
             });
             match end {
-                End::Whole => {
-                    events.finish();
-                    return Ok(Tried::Written(Written::Stream(status)));
+                StreamEnd::Complete => {
+                    relay.finish();
+                    return Ok(AttemptOutcome::Responded(CallerResponse::Streamed(status)));
                 }
-                End::CallerLeft => {
-                    attempt.wire.cut();
+                StreamEnd::CallerLeft => {
+                    attempt.handle.abort();
                     return Err(caller_left());
                 }
-                End::Broken if attempt.wire.is_cut() => return Err(caller_left()),
-                End::Broken if resumes < MAX_RESUMES => {
-                    answer = self.resume(run, attempt, events.events);
+                StreamEnd::Broken if attempt.handle.is_aborted() => return Err(caller_left()),
+                StreamEnd::Broken if resumes < MAX_RESUMES => {
+                    response = self.resume(active, attempt, relay.event_count);
                 }
-                End::Broken => {}
+                StreamEnd::Broken => {}
             }
         }
-        Ok(Tried::Written(self.abort(run, attempt, events)))
+        Ok(AttemptOutcome::Responded(self.abort(active, attempt, relay)))
     }
 
-    /// Asks for the rest of a broken stream, if the engine keeps it and time is left.
-    fn resume(&self, run: &mut Run<'_>, attempt: &Attempt<'_>, events: u64) -> Option<Answer> {
-        if attempt.identified.kind == Kind::Plain {
+    /// Requests the remainder of a broken stream, if the engine retains it and time is left.
+    fn resume(
+        &self,
+        active: &mut ActiveRequest<'_>,
+        attempt: &Attempt<'_>,
+        event_count: u64,
+    ) -> Option<TargetResponse> {
+        if attempt.identified.kind == ServiceKind::Plain {
             return None;
         }
-        let left = attempt.identified.deadline.since(self.now());
-        if left.is_zero() {
+        let time_left = attempt.identified.deadline.since(self.now());
+        if time_left.is_zero() {
             return None;
         }
-        let rest = attempt::resume(&self.pooled, attempt, events, left).ok()?;
-        run.account.trail.add(self.now(), Decision::Resumed(events));
-        Some(rest)
+        let remainder =
+            attempt::resume(&self.pooled_agent, attempt, event_count, time_left).ok()?;
+        active.account.trail.add(self.now(), Decision::Resumed(event_count));
+        Some(remainder)
     }
 
-    /// Ends a stream that can't be completed with an error event.
-    fn abort(&self, run: &Run<'_>, attempt: &Attempt<'_>, events: EventRelay) -> Written {
-        let late = self.now() >= attempt.identified.deadline;
-        let reason = if late { Reason::DeadlinePassed } else { Reason::TargetFailed };
-        let detail = format!("the stream broke after {} events", events.events);
+    /// Sends an error event as the end of a stream that can't be completed.
+    fn abort(
+        &self,
+        active: &ActiveRequest<'_>,
+        attempt: &Attempt<'_>,
+        relay: EventRelay,
+    ) -> CallerResponse {
+        let is_late = self.now() >= attempt.identified.deadline;
+        let reason = if is_late { Reason::DeadlinePassed } else { Reason::TargetFailed };
+        let detail = format!("the stream broke after {} events", relay.event_count);
         let refusal = Refusal::unknown(reason, detail);
-        events.abort(&problem::error_event(&refusal, &run.request));
-        Written::Part(refusal)
+        relay.abort(&problem::error_event(&refusal, &active.request_id));
+        CallerResponse::Partial(refusal)
     }
 }
--- a/crates/tansyknot-edge/src/gateway/keys.rs
+++ b/crates/tansyknot-edge/src/gateway/keys.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: taken before the first byte, settled after the last.
+//! Idempotency keys, which are claimed before the first byte of a request is sent and updated with
+//! its outcome after the last.
 
 use tansyknot_control::idempotency::{self, KeptAnswer, KeyHandle};
 use tansyknot_core::{
@@ -7,52 +8,60 @@
     refusal::{Outcome, Refusal},
 };
 
-use super::{Gateway, Run, Written};
+use super::{ActiveRequest, CallerResponse, Gateway};
 use crate::{
     explain::Decision,
     http::respond::Whole,
     stage::{
         admit::{self, KeyVerdict},
-        identify::Identified,
+        identify::IdentifiedRequest,
     },
 };
 
 impl Gateway {
-    /// Takes the request's key, if it has one; returns the kept answer if it has run before.
+    /// Claims the request's idempotency key, if it has one. Returns the stored response if a request
+    /// with the key has run before.
     pub(super) fn take_key(
         &self,
-        run: &mut Run<'_>,
-        req: &Identified,
+        active: &mut ActiveRequest<'_>,
+        req: &IdentifiedRequest,
         key: &mut Option<KeyHandle>,
     ) -> Result<Option<Whole>, Refusal> {
-        let Some(text) = &req.key else { return Ok(None) };
+        let Some(key_text) = &req.key else { return Ok(None) };
         let table = self.parts.table.as_ref();
         let at_ms = self.parts.clock.wall_ms();
-        let body = &run.req.body;
+        let body = &active.req.body;
         let incarnation = &self.options.incarnation;
-        let verdict = admit::take_key(table, req, text, body, &run.request, incarnation, at_ms)?;
+        let verdict =
+            admit::take_key(table, req, key_text, body, &active.request_id, incarnation, at_ms)?;
         match verdict {
             KeyVerdict::Run(handle) => {
-                run.account.trail.add(self.now(), Decision::KeyTaken);
+                active.account.trail.add(self.now(), Decision::KeyTaken);
                 *key = Some(handle);
                 Ok(None)
             }
-            KeyVerdict::Replay(kept) => Ok(Some(replay(kept, &run.request))),
+            KeyVerdict::Replay(kept) => Ok(Some(replay(kept, &active.request_id))),
         }
     }
 
-    /// Records in the key's row what became of its request.
-    pub(super) fn settle_key(&self, result: &Result<Written, Refusal>, key: Option<KeyHandle>) {
+    /// Records the outcome of the request in the row of its key.
+    pub(super) fn settle_key(
+        &self,
+        result: &Result<CallerResponse, Refusal>,
+        key: Option<KeyHandle>,
+    ) {
         let Some(handle) = key else { return };
         let table = self.parts.table.as_ref();
         let settled = match result {
-            Ok(Written::Nothing(whole)) => idempotency::finish(table, &handle, kept(whole)),
-            Ok(Written::Stream(_)) => idempotency::finish(table, &handle, None),
+            Ok(CallerResponse::Pending(whole)) => {
+                idempotency::finish(table, &handle, kept_answer(whole))
+            }
+            Ok(CallerResponse::Streamed(_)) => idempotency::finish(table, &handle, None),
             Err(refusal) if refusal.outcome == Outcome::NotRun => {
                 idempotency::release(table, &handle)
             }
-            // The outcome is unknown, and a started row says just that.
-            Ok(Written::Part(_)) | Err(_) => Ok(()),
+            // The outcome is unknown, which the row's state "started" already means.
+            Ok(CallerResponse::Partial(_)) | Err(_) => Ok(()),
         };
         if let Err(e) = settled {
             event::KEY_ROW_LEFT.emit(&[("error", &e)]);
@@ -60,19 +69,19 @@
     }
 }
 
-fn replay(kept: KeptAnswer, request: &RequestId) -> Whole {
+fn replay(kept: KeptAnswer, request_id: &RequestId) -> Whole {
     Whole {
         status: kept.status,
         content_type: kept.content_type,
         headers: vec![
-            ("x-request-id".to_owned(), request.to_string()),
+            ("x-request-id".to_owned(), request_id.to_string()),
             ("idempotency-replayed".to_owned(), "true".to_owned()),
         ],
         body: kept.body.into_bytes(),
     }
 }
 
-fn kept(whole: &Whole) -> Option<KeptAnswer> {
+fn kept_answer(whole: &Whole) -> Option<KeptAnswer> {
     if whole.body.len() > idempotency::MAX_KEPT_ANSWER_BYTES {
         return None;
     }
--- a/crates/tansyknot-edge/src/gateway/pages.rs
+++ b/crates/tansyknot-edge/src/gateway/pages.rs
@@ -1,10 +1,10 @@
-//! Answers that the daemon gives itself: the list of models and its health.
+//! Responses of the daemon itself: the list of models and the health check.
 
 use serde::Serialize;
 use tansyknot_config::object::Backend;
 use tansyknot_core::refusal::Refusal;
 
-use super::{Gateway, Run};
+use super::{ActiveRequest, Gateway};
 use crate::{http::respond::Whole, stage::identify};
 
 #[derive(Serialize)]
@@ -21,20 +21,20 @@
 }
 
 impl Gateway {
-    pub(super) fn models(&self, run: &Run<'_>) -> Result<Whole, Refusal> {
+    pub(super) fn models(&self, active: &ActiveRequest<'_>) -> Result<Whole, Refusal> {
         let entry = |id: String| ModelEntry { id, object: "model", owned_by: "tansyknot" };
         let data = self.parts.config.with(|store| {
-            let caller = identify::caller(store, &run.req.head)?;
-            let permitted = |name: &str| {
+            let caller = identify::caller(store, &active.req.head)?;
+            let is_permitted = |name: &str| {
                 let resolved = store.resolve(name);
                 resolved.is_some_and(|r| {
-                    let model = matches!(r.service.backend, Backend::Model(_));
-                    model && caller.services.matches(&r.service.labels)
+                    let is_model = matches!(r.service.backend, Backend::Model(_));
+                    is_model && caller.services.matches(&r.service.labels)
                 })
             };
             let services = store.services().map(|s| s.name.to_string());
             let adapters = store.adapters().map(|(name, _)| name.to_string());
-            let names = services.chain(adapters).filter(|name| permitted(name));
+            let names = services.chain(adapters).filter(|name| is_permitted(name));
             Ok(names.map(entry).collect())
         })?;
         let list = ModelList { object: "list", data };
@@ -43,8 +43,8 @@
 
     pub(super) fn health(&self) -> Whole {
         let draining = self.parts.lifecycle.is_draining();
-        let knows = self.parts.config.version() > 0 && self.parts.hosts.is_known();
-        let (status, body): (u16, &[u8]) = match (draining, knows) {
+        let has_state = self.parts.config.version() > 0 && self.parts.hosts.is_known();
+        let (status, body): (u16, &[u8]) = match (draining, has_state) {
             (true, _) => (503, b"draining\n"),
             (false, true) => (200, b"ok\n"),
             (false, false) => (503, b"no configuration or no list of hosts\n"),
@@ -63,6 +63,6 @@
         status,
         content_type: "application/json".to_owned(),
         headers: Vec::new(),
-        body: serde_json::to_vec(doc).expect("documents have string keys"),
+        body: serde_json::to_vec(doc).expect("JSON documents have string keys"),
     }
 }
--- a/crates/tansyknot-edge/src/gateway/tries.rs
+++ b/crates/tansyknot-edge/src/gateway/tries.rs
@@ -1,4 +1,4 @@
-//! Attempts at targets for one request: place, send, and go elsewhere if that is safe.
+//! Attempts to send one request to targets: place, send, and retry elsewhere if that is safe.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,33 +11,33 @@
 };
 use tansyknot_policy::budget::RetryBudget;
 
-use super::{Gateway, Run, Tried, Written, caller_left};
+use super::{ActiveRequest, AttemptOutcome, CallerResponse, Gateway, caller_left};
 use crate::{
     explain::Decision,
     stage::{
         admit::Permit,
         attempt::{self, Attempt, Failure},
-        identify::{Identified, Kind},
-        place::{Place, Placer},
+        identify::{IdentifiedRequest, ServiceKind},
+        place::{Placement, Placer},
     },
-    upstream::Wire,
+    upstream::AttemptHandle,
 };
 
-/// Attempts for one request, the first included.
+/// The maximum number of attempts for one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
-/// When a caller should come back after every attempt failed to start.
-const TARGET_RETRY: Duration = Duration::from_secs(2);
+/// The `Retry-After` of a request that no target started.
+const TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// The attempts for one request so far.
+/// The attempts made so far for one request.
 #[derive(Default)]
-struct Tries {
+struct AttemptHistory {
     count: u32,
     avoid: Vec<TargetName>,
     may_have_run: bool,
 }
 
-impl Tries {
-    fn note(&mut self, target: &TargetName, failure: Failure) {
+impl AttemptHistory {
+    fn record(&mut self, target: &TargetName, failure: Failure) {
         self.count += 1;
         self.may_have_run = self.may_have_run || !failure.is_not_run();
         if failure != Failure::NotLoaded {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Keeps a refusal from saying "not run" after an attempt that may have run.
-    fn soften(&self, refusal: Refusal) -> Refusal {
+    /// Returns the refusal with an unknown outcome if an earlier attempt may have run.
+    fn correct_outcome(&self, refusal: Refusal) -> Refusal {
         if !self.may_have_run || refusal.outcome == Outcome::Unknown {
             return refusal;
         }
@@ -60,48 +60,51 @@
 impl Gateway {
     pub(super) fn try_targets(
         &self,
-        run: &mut Run<'_>,
-        req: &Identified,
+        active: &mut ActiveRequest<'_>,
+        req: &IdentifiedRequest,
         permit: &Permit<'_>,
         key: &mut Option<KeyHandle>,
-    ) -> Result<Written, Refusal> {
-        let mut tries = Tries::default();
+    ) -> Result<CallerResponse, Refusal> {
+        let mut attempts = AttemptHistory::default();
         loop {
-            let mut place = self.place(run, req, &tries.avoid).map_err(|r| tries.soften(r))?;
+            let mut placement = self
+                .place(active, req, &attempts.avoid)
+                .map_err(|r| attempts.correct_outcome(r))?;
             if key.is_none()
-                && let Some(replay) = self.take_key(run, req, key)?
+                && let Some(replay) = self.take_key(active, req, key)?
             {
-                return Ok(Written::Nothing(replay));
+                return Ok(CallerResponse::Pending(replay));
             }
-            let began = self.now();
-            let target = place.target.clone();
-            let tried = self.attempt(run, req, &target).map_err(|r| tries.soften(r))?;
-            let failure = match tried {
-                Tried::Written(written) => {
-                    if !matches!(written, Written::Part(_)) {
-                        place.answered(self.now().since(began));
+            let started_at = self.now();
+            let target = placement.target.clone();
+            let outcome =
+                self.attempt(active, req, &target).map_err(|r| attempts.correct_outcome(r))?;
+            let failure = match outcome {
+                AttemptOutcome::Responded(response) => {
+                    if !matches!(response, CallerResponse::Partial(_)) {
+                        placement.set_response_time(self.now().since(started_at));
                         self.target_budget(&target, RetryBudget::success);
                     }
-                    return Ok(written);
+                    return Ok(response);
                 }
-                Tried::Failed(failure) => failure,
+                AttemptOutcome::Failed(failure) => failure,
             };
-            drop(place);
-            self.note_failure(run, req, &target, failure);
-            tries.note(&target, failure);
-            if !self.may_retry(req, permit, &target, failure, &tries) {
-                return Err(tries.soften(final_refusal(failure)));
+            drop(placement);
+            self.record_failure(active, req, &target, failure);
+            attempts.record(&target, failure);
+            if !self.may_retry(req, permit, &target, failure, &attempts) {
+                return Err(attempts.correct_outcome(final_refusal(failure)));
             }
         }
     }
 
     fn place(
         &self,
-        run: &mut Run<'_>,
-        req: &Identified,
+        active: &mut ActiveRequest<'_>,
+        req: &IdentifiedRequest,
         avoid: &[TargetName],
-    ) -> Result<Place<'_>, Refusal> {
-        let _span = Span::enter_with_parent("place", &run.span);
+    ) -> Result<Placement<'_>, Refusal> {
+        let _span = Span::enter_with_parent("place", &active.span);
         let placer = Placer {
             pools: &self.parts.pools,
             publisher: &self.parts.publisher,
@@ -109,77 +112,77 @@
             zone: &self.options.zone,
             waiting_max: self.options.waiting_max,
         };
-        let place = placer.place(req, avoid, run.stream)?;
+        let placement = placer.place(req, avoid, active.stream)?;
         let now = self.now();
-        if place.queued {
-            run.account.queued = true;
-            run.account.trail.add(now, Decision::Queued);
+        if placement.queued {
+            active.account.queued = true;
+            active.account.trail.add(now, Decision::Queued);
         }
-        run.account.trail.add(now, Decision::Placed(place.target.clone()));
-        Ok(place)
+        active.account.trail.add(now, Decision::Placed(placement.target.clone()));
+        Ok(placement)
     }
 
     fn attempt(
         &self,
-        run: &mut Run<'_>,
-        req: &Identified,
+        active: &mut ActiveRequest<'_>,
+        req: &IdentifiedRequest,
         target: &TargetName,
-    ) -> Result<Tried, Refusal> {
+    ) -> Result<AttemptOutcome, Refusal> {
         let Some(target) = self.parts.hosts.live_target(target) else {
-            return Ok(Tried::Failed(Failure::NotSent));
+            return Ok(AttemptOutcome::Failed(Failure::NotSent));
         };
         if let Some(adapter) = &req.adapter
             && self.parts.replicas.load_adapter(&target, &req.service, adapter).is_err()
         {
-            return Ok(Tried::Failed(Failure::RefusedToStart));
+            return Ok(AttemptOutcome::Failed(Failure::RefusedToStart));
         }
         let now = self.now();
-        let left = req.deadline.since(now);
-        if left.is_zero() {
+        let time_left = req.deadline.since(now);
+        if time_left.is_zero() {
             let detail = "the deadline passed before the request was sent";
             return Err(Refusal::not_run(Reason::DeadlinePassed, detail));
         }
         let attempt_id = AttemptId::new(name::random_id());
-        run.account.trail.add(now, Decision::Attempted(attempt_id.clone()));
-        let span = Span::enter_with_parent("attempt", &run.span)
+        active.account.trail.add(now, Decision::Attempted(attempt_id.clone()));
+        let span = Span::enter_with_parent("attempt", &active.span)
             .with_property(|| ("target", target.name.to_string()));
-        let wire = Arc::new(Wire::new());
+        let handle = Arc::new(AttemptHandle::new());
         let attempt = Attempt {
-            req: run.req,
+            req: active.req,
             identified: req,
-            request: &run.request.clone(),
-            attempt: &attempt_id,
+            request_id: &active.request_id.clone(),
+            attempt_id: &attempt_id,
             target: &target,
-            left,
+            time_left,
             traceparent: SpanContext::from_span(&span).map(|c| c.encode_w3c_traceparent()),
-            wire: &wire,
+            handle: &handle,
         };
-        let _watch = self.parts.watch.watch(run.stream, &wire);
-        let tried = match attempt::send(self.agent(req), &attempt) {
-            Ok(answer) => {
-                if let Some(in_flight) = attempt::reported_in_flight(&answer) {
+        let _watch = self.parts.watch.watch(active.stream, &handle);
+        let outcome = match attempt::send(self.agent(req), &attempt) {
+            Ok(response) => {
+                if let Some(in_flight) = attempt::reported_in_flight(&response) {
                     self.parts.pools.report(&req.service, &target.name, in_flight);
                 }
-                self.relay(run, &attempt, answer)
+                self.relay(active, &attempt, response)
             }
-            Err(_) if wire.is_cut() => Err(caller_left()),
-            Err(failure) => Ok(Tried::Failed(failure)),
+            Err(_) if handle.is_aborted() => Err(caller_left()),
+            Err(failure) => Ok(AttemptOutcome::Failed(failure)),
         };
-        if wire.is_cut() && req.kind == Kind::Model {
-            // The connection is closed already; an engine that resumes streams would go on.
+        if handle.is_aborted() && req.kind == ServiceKind::Model {
+            // The connection is closed already, but an engine with resumable streams would go on.
             self.parts.replicas.cancel(&target, &attempt_id);
         }
-        tried
+        outcome
     }
 
-    fn agent(&self, req: &Identified) -> &ureq::Agent {
-        if req.is_repeatable() { &self.pooled } else { &self.fresh }
+    fn agent(&self, req: &IdentifiedRequest) -> &ureq::Agent {
+        if req.is_repeatable() { &self.pooled_agent } else { &self.fresh_agent }
     }
 
-    fn note_failure(
+    fn record_failure(
         &self,
-        run: &mut Run<'_>,
-        req: &Identified,
+        active: &mut ActiveRequest<'_>,
+        req: &IdentifiedRequest,
         target: &TargetName,
         failure: Failure,
     ) {
@@ -188,9 +191,9 @@
         } else {
             Decision::Broken(failure.code())
         };
-        run.account.trail.add(self.now(), decision);
+        active.account.trail.add(self.now(), decision);
         event::ATTEMPT_FAILED.emit(&[
-            ("request", &run.request),
+            ("request", &active.request_id),
             ("service", &req.service),
             ("target", target),
             ("failure", &failure.code()),
@@ -205,33 +208,36 @@
         }
     }
 
-    /// Tells whether a failed request goes to another target, within the budgets.
+    /// Returns whether a failed request may be retried, within the retry budgets.
     fn may_retry(
         &self,
-        req: &Identified,
+        req: &IdentifiedRequest,
         permit: &Permit<'_>,
         target: &TargetName,
         failure: Failure,
-        tries: &Tries,
+        attempts: &AttemptHistory,
     ) -> bool {
-        if tries.count >= MAX_ATTEMPTS {
+        if attempts.count >= MAX_ATTEMPTS {
             return false;
         }
-        let safe = match failure {
-            // The engine's word costs the target nothing, so it needs no budget; the request
-            // waits for the replica to be loaded again.
+        let is_safe = match failure {
+            // This refusal costs the target nothing, so it needs no retry budget. The request
+            // waits until the replica is loaded again.
             Failure::NotLoaded => return true,
             Failure::NotSent | Failure::RefusedToStart => true,
             Failure::Broken => req.is_repeatable(),
             Failure::TimedOut => false,
         };
-        // A request for which no target is left is given up now, not at its deadline.
-        let elsewhere = self.parts.pools.has_upstream_besides(&req.service, &tries.avoid);
-        safe && elsewhere && self.target_budget(target, RetryBudget::take) && permit.take_retry()
+        // A request with no other target to try is refused at once, not at its deadline.
+        let has_other_target = self.parts.pools.has_upstream_besides(&req.service, &attempts.avoid);
+        is_safe
+            && has_other_target
+            && self.target_budget(target, RetryBudget::take)
+            && permit.take_retry()
     }
 
     fn target_budget<T>(&self, target: &TargetName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let mut budgets = self.target_retries.lock().expect("no holder of the lock panics");
+        let mut budgets = self.target_retries.lock().expect("the lock is not poisoned");
         f(budgets.entry(target.clone()).or_default())
     }
 }
@@ -241,7 +247,7 @@
     match failure {
         Failure::NotSent | Failure::NotLoaded | Failure::RefusedToStart => {
             let detail = format!("no target started the request: {code}");
-            Refusal::later(Reason::NoTarget, TARGET_RETRY, detail)
+            Refusal::later(Reason::NoTarget, TARGET_RETRY_AFTER, detail)
         }
         Failure::TimedOut => Refusal::unknown(Reason::DeadlinePassed, "the target was too slow"),
         Failure::Broken => Refusal::unknown(Reason::TargetFailed, "the connection broke"),
--- a/crates/tansyknot-edge/src/lib.rs
+++ b/crates/tansyknot-edge/src/lib.rs
@@ -1,7 +1,7 @@
-//! The HTTP server for callers and the stages a request passes.
+//! The HTTP server for callers, and the stages of processing a request.
 //!
-//! A request goes through accept, identify, admit, place, attempt, relay and account, in this
-//! order; each stage is a module under [`stage`].
+//! A request passes the stages accept, identify, admit, place, attempt, relay and account, in this
+//! order. Each stage but accept is a module of [`stage`].
 
 pub mod explain;
 pub mod gateway;
--- a/crates/tansyknot-edge/src/stage.rs
+++ b/crates/tansyknot-edge/src/stage.rs
@@ -1,7 +1,7 @@
-//! The stages of a request, in the order that it passes them.
+//! The stages of processing a request.
 //!
-//! `identify` → `admit` → `place` → `attempt` → `relay` → `account`. Each takes the message of
-//! the stage before it; none reaches around its neighbour. Accepting is the HTTP server's.
+//! `identify` → `admit` → `place` → `attempt` → `relay` → `account`. Each stage takes the
+//! output of the previous one, and none bypasses its neighbours. The HTTP server accepts requests.
 
 pub mod account;
 pub mod admit;
--- a/crates/tansyknot-edge/src/stage/account.rs
+++ b/crates/tansyknot-edge/src/stage/account.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its figures, its event and its trail.
+//! Records the end of a request: its metrics, its event and its trail.
 
 use std::time::Duration;
 
@@ -15,41 +15,41 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The caller has the whole answer.
+    /// The caller has received the full response, with this status.
     Answered(u16),
-    /// The caller has been told why not.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// What is known of a request at its end.
+/// The data of a request that is recorded at its end.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Its decisions.
+    /// The decisions about the request.
     pub trail: Trail,
     /// When it was received.
-    pub began: Time,
-    /// When the first part of the answer left for the caller.
-    pub first_part: Option<Time>,
+    pub received_at: Time,
+    /// When the first part of the response was sent to the caller.
+    pub first_part_at: Option<Time>,
     /// Whether it waited for a replica.
     pub queued: bool,
 }
 
 /// Records the end of a request.
-pub fn close(
+pub fn record_end(
     recorder: &dyn Recorder,
     explainer: &Explainer,
     mut account: Account,
-    ended: &Ended,
+    end: &Ended,
     now: Time,
 ) {
     let service = account.trail.service.clone().unwrap_or_else(|| ServiceName::from("none"));
-    let total = now.since(account.began);
-    match ended {
+    let total = now.since(account.received_at);
+    match end {
         Ended::Answered(status) => {
             account.trail.add(now, Decision::Answered(*status));
             recorder.count("requests.answered", &service, 1);
             recorder.time("request", &service, total);
-            record_first_part(recorder, &service, &account);
+            record_first_part_time(recorder, &service, &account);
             event::REQUEST_DONE.emit(&[
                 ("request", &account.trail.request),
                 ("service", &service),
@@ -59,13 +59,13 @@
         }
         Ended::Refused(refusal) => refused(recorder, &service, &mut account, refusal, total, now),
     }
-    explainer.keep(account.trail);
+    explainer.record(account.trail);
 }
 
-fn record_first_part(recorder: &dyn Recorder, service: &ServiceName, account: &Account) {
-    let Some(first) = account.first_part else { return };
+fn record_first_part_time(recorder: &dyn Recorder, service: &ServiceName, account: &Account) {
+    let Some(first_part_at) = account.first_part_at else { return };
     let name = if account.queued { "first_token.cold" } else { "first_token.warm" };
-    recorder.time(name, service, first.since(account.began));
+    recorder.time(name, service, first_part_at.since(account.received_at));
 }
 
 fn refused(
--- a/crates/tansyknot-edge/src/stage/admit.rs
+++ b/crates/tansyknot-edge/src/stage/admit.rs
@@ -1,4 +1,4 @@
-//! Limits of each caller, and at most one run for each idempotency key.
+//! Admission: the limits of each caller, and at most one run for each idempotency key.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
@@ -17,14 +17,14 @@
     meter::{Meter, MeterOptions},
 };
 
-use super::identify::Identified;
+use super::identify::IdentifiedRequest;
 
-/// When a caller that is over its limit of requests in flight should come back.
-const IN_FLIGHT_RETRY: Duration = Duration::from_secs(1);
-/// When a caller should come back for the answer of a request under way.
-const KEY_RETRY: Duration = Duration::from_secs(2);
-/// When a caller should come back while the table is away.
-const STORE_RETRY: Duration = Duration::from_secs(5);
+/// The `Retry-After` for a caller over its limit of requests in flight.
+const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The `Retry-After` while the first request with the same idempotency key is in progress.
+const KEY_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// The `Retry-After` while the table service is unavailable.
+const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 struct CallerState {
     meter: Meter,
@@ -32,27 +32,27 @@
     retries: RetryBudget,
 }
 
-/// What each caller has in flight at this daemon.
+/// Enforces the limits of each caller at this daemon.
 #[derive(Default)]
 pub struct CallerGate {
     callers: Mutex<HashMap<CallerName, CallerState>>,
 }
 
-/// A request counted against its caller; dropping it ends the count.
+/// A request counted against its caller's limits. Dropping the permit removes it from the count.
 pub struct Permit<'a> {
     gate: &'a CallerGate,
     caller: CallerName,
 }
 
 impl CallerGate {
-    /// Counts a request of `caller`.
+    /// Counts a request of `caller` against its limits.
     ///
     /// # Errors
     ///
-    /// Fails if the caller is over one of its limits.
+    /// Fails if the caller exceeds one of its limits.
     pub fn enter(&self, caller: &Caller, now: Time) -> Result<Permit<'_>, Refusal> {
         let options = meter_options(&caller.limits);
-        let mut callers = self.callers.lock().expect("no holder of the lock panics");
+        let mut callers = self.callers.lock().expect("the lock is not poisoned");
         let state = callers.entry(caller.name.clone()).or_insert_with(|| CallerState {
             meter: Meter::new(options, now),
             in_flight: 0,
@@ -61,7 +61,7 @@
         state.meter.set_options(options);
         if state.in_flight >= caller.limits.in_flight {
             let detail = format!("{} requests are in flight", state.in_flight);
-            return Err(Refusal::later(Reason::CallerLimit, IN_FLIGHT_RETRY, detail));
+            return Err(Refusal::later(Reason::CallerLimit, IN_FLIGHT_RETRY_AFTER, detail));
         }
         if let Err(wait) = state.meter.take(1.0, now) {
             let detail = format!("over {} requests a second", caller.limits.rate_per_s);
@@ -73,18 +73,18 @@
 }
 
 impl Permit<'_> {
-    /// Takes one retry from the caller's budget.
+    /// Takes one retry from the caller's retry budget. Returns whether it had one left.
     pub fn take_retry(&self) -> bool {
         self.with(|state| state.retries.take()).unwrap_or(false)
     }
 
-    /// Counts a success, which earns a part of a retry.
+    /// Counts a success, which adds a fraction of a retry to the budget.
     pub fn success(&self) {
         self.with(|state| state.retries.success());
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut CallerState) -> T) -> Option<T> {
-        let mut callers = self.gate.callers.lock().expect("no holder of the lock panics");
+        let mut callers = self.gate.callers.lock().expect("the lock is not poisoned");
         callers.get_mut(&self.caller).map(f)
     }
 }
@@ -99,24 +99,25 @@
     MeterOptions { rate_per_s: f64::from(limits.rate_per_s), burst: f64::from(limits.burst) }
 }
 
-/// What an idempotency key allows.
+/// The result of claiming an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyVerdict {
     /// The request may be sent once.
     Run(KeyHandle),
-    /// The request has run; this was its answer.
+    /// The request has run before, with this response.
     Replay(KeptAnswer),
 }
 
-/// Takes the key of a request before its first byte leaves.
+/// Claims the idempotency key of a request before its first byte is sent.
 ///
 /// # Errors
 ///
-/// Fails if the key was used otherwise, its request is not settled, or the table is away. This
-/// request has not run in any of these cases; the first one with the key may have.
+/// Fails if the key was used with another request, the outcome of its first request is not
+/// recorded, or the table service is unavailable. This request has not run in any of these cases;
+/// the first request with the key may have.
 pub fn take_key(
     table: &dyn Table,
-    req: &Identified,
+    req: &IdentifiedRequest,
     key: &str,
     body: &[u8],
     request: &RequestId,
@@ -135,7 +136,7 @@
     };
     match idempotency::begin(table, &key_use) {
         Ok(Begin::Fresh(handle)) => Ok(KeyVerdict::Run(handle)),
-        Ok(Begin::Done(Some(answer))) => Ok(KeyVerdict::Replay(answer)),
+        Ok(Begin::Done(Some(response))) => Ok(KeyVerdict::Replay(response)),
         Ok(Begin::Done(None)) => Err(Refusal::unknown(
             Reason::KeyInUse,
             "the first request with this key has run; its answer was too long to keep",
@@ -143,7 +144,7 @@
         Ok(Begin::Started(first)) => Err(Refusal {
             reason: Reason::KeyInUse,
             outcome: Outcome::Unknown,
-            retry_after: Some(KEY_RETRY),
+            retry_after: Some(KEY_RETRY_AFTER),
             detail: format!("request {first} took this key and has no recorded answer"),
         }),
         Ok(Begin::Reused) => {
@@ -154,10 +155,10 @@
 }
 
 fn store_refusal(e: &Error) -> Refusal {
-    Refusal::later(Reason::StoreUnavailable, STORE_RETRY, e.to_string())
+    Refusal::later(Reason::StoreUnavailable, STORE_RETRY_AFTER, e.to_string())
 }
 
-fn request_hash(req: &Identified, body: &[u8]) -> String {
+fn request_hash(req: &IdentifiedRequest, body: &[u8]) -> String {
     let mut text = format!("{} {} ", req.service, req.path).into_bytes();
     text.extend_from_slice(body);
     let hash = xxhash_rust::xxh3::xxh3_128(&text);
--- a/crates/tansyknot-edge/src/stage/attempt.rs
+++ b/crates/tansyknot-edge/src/stage/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a target: send the request and read the head of the answer.
+//! One attempt: sends the request to a target and reads the head of the response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,13 +8,14 @@
 };
 use ureq::http;
 
-use super::identify::{Identified, Kind};
+use super::identify::{IdentifiedRequest, ServiceKind};
 use crate::{
     http::{head, server::Request},
-    upstream::{self, Wire},
+    upstream::{self, AttemptHandle},
 };
 
-/// Headers that end here, and those that the daemon sets itself, so that a caller can't forge them.
+/// Headers that are not forwarded: those for this daemon, and those that the daemon sets itself, so
+/// that a caller can't forge them.
 const NOT_FORWARDED: &[&str] = &[
     "authorization",
     "expect",
@@ -27,51 +28,51 @@
     "x-request-id",
 ];
 
-/// What an attempt needs to know.
+/// The parameters of an attempt.
 pub struct Attempt<'a> {
     /// The request.
     pub req: &'a Request,
-    /// What is known of it.
-    pub identified: &'a Identified,
+    /// The result of its identification.
+    pub identified: &'a IdentifiedRequest,
     /// The request's identifier.
-    pub request: &'a RequestId,
+    pub request_id: &'a RequestId,
     /// This attempt's identifier.
-    pub attempt: &'a AttemptId,
-    /// Where it goes.
+    pub attempt_id: &'a AttemptId,
+    /// The target that the request is sent to.
     pub target: &'a Target,
     /// The time left until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The trace context for the target.
     pub traceparent: Option<String>,
-    /// The attempt's wire.
-    pub wire: &'a Arc<Wire>,
+    /// Tracks whether bytes have been sent, and aborts the attempt.
+    pub handle: &'a Arc<AttemptHandle>,
 }
 
-/// An answer whose head is there.
-pub type Answer = http::Response<ureq::Body>;
+/// A target's response whose head has been read.
+pub type TargetResponse = http::Response<ureq::Body>;
 
-/// Why an attempt gave no answer that may be relayed.
+/// Why an attempt has no response that may be relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of the request has left.
+    /// No byte of the request was sent.
     NotSent,
     /// The engine does not have the model.
     NotLoaded,
-    /// The engine refused before it started.
+    /// The engine refused the request before it started.
     RefusedToStart,
-    /// The deadline passed after bytes had left.
+    /// The deadline passed after bytes may have been sent.
     TimedOut,
-    /// The connection failed after bytes had left.
+    /// The connection failed after bytes may have been sent.
     Broken,
 }
 
 impl Failure {
-    /// Tells whether the target can't have run the request.
+    /// Returns whether the target can't have run the request.
     pub fn is_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::NotLoaded | Self::RefusedToStart)
     }
 
-    /// Returns the word for logs.
+    /// Returns the code for logs.
     pub fn code(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -83,29 +84,29 @@
     }
 }
 
-/// Sends the request and reads the head of the answer.
+/// Sends the request and reads the head of the response.
 ///
 /// # Errors
 ///
-/// Fails with what is known about whether the target has run the request.
-pub fn send(agent: &ureq::Agent, attempt: &Attempt<'_>) -> Result<Answer, Failure> {
-    let answer = upstream::with_wire(attempt.wire, || call(agent, attempt));
-    match answer {
-        Ok(answer) => check_started(attempt.identified.kind, answer),
-        Err(_) if !attempt.wire.sent() => Err(Failure::NotSent),
+/// The [`Failure`] tells whether the target may have run the request.
+pub fn send(agent: &ureq::Agent, attempt: &Attempt<'_>) -> Result<TargetResponse, Failure> {
+    let response = upstream::with_handle(attempt.handle, || call(agent, attempt));
+    match response {
+        Ok(response) => check_started(attempt.identified.kind, response),
+        Err(_) if !attempt.handle.may_have_sent() => Err(Failure::NotSent),
         Err(ureq::Error::Timeout(_)) => Err(Failure::TimedOut),
         Err(_) => Err(Failure::Broken),
     }
 }
 
-fn call(agent: &ureq::Agent, attempt: &Attempt<'_>) -> Result<Answer, ureq::Error> {
+fn call(agent: &ureq::Agent, attempt: &Attempt<'_>) -> Result<TargetResponse, ureq::Error> {
     let req = build(attempt)?;
     if attempt.req.body.is_empty() {
         let req = req.map(|_| ());
-        let req = agent.configure_request(req).timeout_global(Some(attempt.left)).build();
+        let req = agent.configure_request(req).timeout_global(Some(attempt.time_left)).build();
         return agent.run(req);
     }
-    agent.run(agent.configure_request(req).timeout_global(Some(attempt.left)).build())
+    agent.run(agent.configure_request(req).timeout_global(Some(attempt.time_left)).build())
 }
 
 fn build<'a>(attempt: &Attempt<'a>) -> Result<http::Request<&'a [u8]>, ureq::Error> {
@@ -116,58 +117,58 @@
         req = req.header(name, value);
     }
     req = req
-        .header("x-request-id", attempt.request.as_str())
-        .header("x-attempt-id", attempt.attempt.as_str())
+        .header("x-request-id", attempt.request_id.as_str())
+        .header("x-attempt-id", attempt.attempt_id.as_str())
         .header("x-caller", attempt.identified.caller.name.as_str())
         .header("x-priority", attempt.identified.rank().to_string())
-        .header("x-deadline-ms", attempt.left.as_millis().to_string());
+        .header("x-deadline-ms", attempt.time_left.as_millis().to_string());
     if let Some(traceparent) = &attempt.traceparent {
         req = req.header("traceparent", traceparent);
     }
     Ok(req.body(attempt.req.body.as_slice())?)
 }
 
-/// Tells an engine's refusal to start from an answer.
+/// Distinguishes an engine's refusal to start a request from a response to relay.
 ///
-/// Engines answer 404, 429 and 503 only before they start. Of a plain service nothing of the
-/// kind is known, so whatever it answers is its answer.
-fn check_started(kind: Kind, answer: Answer) -> Result<Answer, Failure> {
-    match (kind, answer.status().as_u16()) {
-        (Kind::Model, 404) => Err(Failure::NotLoaded),
-        (Kind::Model, 429 | 503) => Err(Failure::RefusedToStart),
-        _ => Ok(answer),
+/// Engines respond with 404, 429 and 503 only before they start a request. Plain services give no
+/// such guarantee, so each of their responses is relayed.
+fn check_started(kind: ServiceKind, response: TargetResponse) -> Result<TargetResponse, Failure> {
+    match (kind, response.status().as_u16()) {
+        (ServiceKind::Model, 404) => Err(Failure::NotLoaded),
+        (ServiceKind::Model, 429 | 503) => Err(Failure::RefusedToStart),
+        _ => Ok(response),
     }
 }
 
-/// The header in which an engine says how many requests it runs.
+/// The header in which an engine reports its number of requests in flight.
 const IN_FLIGHT_HEADER: &str = "x-in-flight";
 
-/// Returns what the target said of its load with the answer, if it did.
+/// Returns the number of requests in flight that the target reports in its response, if it does.
 ///
-/// Load comes with answers and not by polling: it is as fresh as the traffic and costs nothing
-/// where there is none.
-pub fn reported_in_flight(answer: &Answer) -> Option<u32> {
-    answer.headers().get(IN_FLIGHT_HEADER)?.to_str().ok()?.parse().ok()
+/// The load is reported in responses and not polled, so it is as recent as the traffic and costs
+/// nothing without traffic.
+pub fn reported_in_flight(response: &TargetResponse) -> Option<u32> {
+    response.headers().get(IN_FLIGHT_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-/// Asks the engine for the rest of a stream that broke after `events` whole events.
+/// Requests the remainder of a stream that broke after `event_count` complete events.
 ///
 /// # Errors
 ///
-/// Fails if the engine does not have the rest.
+/// Fails if the engine does not have the remainder.
 pub fn resume(
     agent: &ureq::Agent,
     attempt: &Attempt<'_>,
-    events: u64,
-    left: Duration,
-) -> Result<Answer, Failure> {
-    let url = format!("http://{}/v1/streams/{}", attempt.target.address, attempt.attempt);
+    event_count: u64,
+    time_left: Duration,
+) -> Result<TargetResponse, Failure> {
+    let url = format!("http://{}/v1/streams/{}", attempt.target.address, attempt.attempt_id);
     let call = || {
-        let req = agent.get(url).query("after", events.to_string());
-        req.config().timeout_global(Some(left)).build().call()
+        let req = agent.get(url).query("after", event_count.to_string());
+        req.config().timeout_global(Some(time_left)).build().call()
     };
-    match upstream::with_wire(attempt.wire, call) {
-        Ok(answer) if answer.status().as_u16() == 200 => Ok(answer),
+    match upstream::with_handle(attempt.handle, call) {
+        Ok(response) if response.status().as_u16() == 200 => Ok(response),
         _ => Err(Failure::Broken),
     }
 }
--- a/crates/tansyknot-edge/src/stage/identify.rs
+++ b/crates/tansyknot-edge/src/stage/identify.rs
@@ -1,4 +1,4 @@
-//! Who asks for what, by when, and what the operators decided about it.
+//! Identification of a request: its caller, service, rule and deadline.
 
 use std::time::Duration;
 
@@ -17,79 +17,79 @@
 
 use crate::http::{head::Head, server::Request};
 
-/// When a caller should come back to a daemon that has no configuration yet.
-const CONFIG_RETRY: Duration = Duration::from_secs(2);
+/// The `Retry-After` of a daemon that has no configuration yet.
+const CONFIG_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a path asks for.
+/// What a path requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A completion by a model; the path is passed on.
+    /// A completion by a model. The path is forwarded.
     Completion,
     /// The list of models.
     Models,
-    /// Whether the daemon takes requests.
+    /// The health check: whether the daemon accepts requests.
     Health,
     /// A call of a plain service.
     Plain {
         /// The service.
         service: ServiceName,
-        /// The path that the service sees.
+        /// The path and query that are forwarded to the service.
         path: String,
     },
 }
 
-/// What answers a request.
+/// The kind of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ServiceKind {
     /// A model on an engine.
     Model,
     /// A plain service.
     Plain,
 }
 
-/// A request with everything that is known before it is admitted.
+/// A request with its attributes before admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Identified {
-    /// Who asks.
+pub struct IdentifiedRequest {
+    /// The caller.
     pub caller: Caller,
-    /// What is asked.
+    /// The service.
     pub service: ServiceName,
     /// The adapter, if the caller named one.
     pub adapter: Option<AdapterName>,
-    /// What answers.
-    pub kind: Kind,
-    /// What the operators decided.
+    /// The kind of the service.
+    pub kind: ServiceKind,
+    /// The rule in force for the service.
     pub rule: Rule,
-    /// When the whole answer must be there.
+    /// The time by which the full response must be received.
     pub deadline: Time,
-    /// The caller's key, if it gave one and the service runs requests at most once.
+    /// The idempotency key, if the caller sent one and the service runs requests at most once.
     pub key: Option<String>,
-    /// The path and query that the target sees.
+    /// The path and query that are forwarded to the target.
     pub path: String,
     /// A hash of the start of the prompt.
     pub prefix: Option<u64>,
 }
 
-impl Identified {
-    /// Returns the rank of the request's class.
+impl IdentifiedRequest {
+    /// Returns the rank of the request's priority class.
     pub fn rank(&self) -> Rank {
         self.rule.requests.class as Rank
     }
 
-    /// Tells whether the request may run again.
+    /// Returns whether the request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         self.rule.requests.repeatability == Repeatability::Repeatable
     }
 }
 
-/// The members of a completion's body that the daemon looks at.
+/// The fields of a completion's body that the daemon reads.
 #[derive(Deserialize)]
 struct CompletionBody<'a> {
     #[serde(borrow)]
     model: std::borrow::Cow<'a, str>,
 }
 
-/// Finds what a path asks for.
+/// Returns the route for the method and path of a request.
 ///
 /// # Errors
 ///
@@ -116,15 +116,15 @@
     Some(Route::Plain { service: ServiceName::from(service), path: format!("/{path}{query}") })
 }
 
-/// Finds the caller by its key.
+/// Returns the caller that the request's key belongs to.
 ///
 /// # Errors
 ///
-/// Fails if there is no configuration, no key, or no caller with the key.
+/// Fails if there is no configuration, the request has no key, or no caller has the key.
 pub fn caller(store: &Store, head: &Head) -> Result<Caller, Refusal> {
     if store.version() == 0 {
         let detail = "no configuration has been read since the start";
-        return Err(Refusal::later(Reason::NoConfiguration, CONFIG_RETRY, detail));
+        return Err(Refusal::later(Reason::NoConfiguration, CONFIG_RETRY_AFTER, detail));
     }
     let unknown = |detail: &str| Refusal::not_run(Reason::UnknownCaller, detail);
     let value = head.header("authorization").ok_or_else(|| unknown("there is no key"))?;
@@ -133,11 +133,12 @@
     caller.cloned().ok_or_else(|| unknown("no caller has this key"))
 }
 
-/// Finds the service of a request, the rule in force and the deadline.
+/// Determines the service of a request, the rule in force and the deadline.
 ///
 /// # Errors
 ///
-/// Fails if the service is not there, not permitted, or the request lacks what it needs.
+/// Fails if the service does not exist or is not permitted, if no rule is in force for it, or if the
+/// request is invalid.
 pub fn identify(
     store: &Store,
     caller: Caller,
@@ -145,7 +146,7 @@
     req: &Request,
     now: Time,
     deadline_max: Duration,
-) -> Result<Identified, Refusal> {
+) -> Result<IdentifiedRequest, Refusal> {
     let (name, path) = match route {
         Route::Plain { service, path } => (service.to_string(), path.clone()),
         _ => (completion_model(&req.body)?, req.head.path.clone()),
@@ -153,11 +154,12 @@
     let unknown = || Refusal::not_run(Reason::UnknownService, format!("{name:?} is not there"));
     let resolved = store.resolve(&name).ok_or_else(unknown)?;
     let kind = match resolved.service.backend {
-        Backend::Model(_) => Kind::Model,
-        Backend::Plain(_) => Kind::Plain,
+        Backend::Model(_) => ServiceKind::Model,
+        Backend::Plain(_) => ServiceKind::Plain,
     };
-    let asked = if matches!(route, Route::Plain { .. }) { Kind::Plain } else { Kind::Model };
-    if kind != asked {
+    let route_kind =
+        if matches!(route, Route::Plain { .. }) { ServiceKind::Plain } else { ServiceKind::Model };
+    if kind != route_kind {
         return Err(unknown());
     }
     if !caller.services.matches(&resolved.service.labels) {
@@ -168,7 +170,7 @@
     let rule = resolved.rule.ok_or_else(no_rule)?.clone();
     let deadline = now + deadline(&req.head, &rule, deadline_max)?;
     let key = idempotency_key(&req.head, &rule)?;
-    Ok(Identified {
+    Ok(IdentifiedRequest {
         caller,
         service: resolved.service.name.clone(),
         adapter: resolved.adapter,
@@ -177,7 +179,7 @@
         deadline,
         key,
         path,
-        prefix: (kind == Kind::Model).then(|| prefix_hash(&req.body)),
+        prefix: (kind == ServiceKind::Model).then(|| prefix_hash(&req.body)),
     })
 }
 
@@ -189,7 +191,7 @@
     }
 }
 
-/// Bytes of a body that count as its prefix: system prompt and first words.
+/// Length of the prefix of a body that is hashed. It covers the system prompt and the first words.
 const PREFIX_BYTES: usize = 512;
 
 fn prefix_hash(body: &[u8]) -> u64 {
@@ -205,7 +207,7 @@
     Ok(Duration::from_millis(ms).min(max))
 }
 
-/// Keys longer than this are refused.
+/// Longer idempotency keys are refused.
 const MAX_KEY_BYTES: usize = 255;
 
 fn idempotency_key(head: &Head, rule: &Rule) -> Result<Option<String>, Refusal> {
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -1,4 +1,5 @@
-//! Waiting for a target: granted at once, queued until a replica has room, or refused early.
+//! Placement of a request: on a target at once, in the queue until a replica has capacity, or an
+//! early refusal.
 
 use std::{net::TcpStream, sync::mpsc::Receiver, time::Duration};
 
@@ -17,61 +18,61 @@
     queue::{Ticket, Waiter},
 };
 
-use super::identify::Identified;
+use super::identify::IdentifiedRequest;
 
-/// How often a waiting request looks whether its caller has left.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a waiting request checks whether its caller has left.
+const CALLER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the stage works with.
+/// The dependencies and options of the stage.
 pub struct Placer<'a> {
     /// The pools.
     pub pools: &'a Pools,
-    /// Opens the targets of a service that is asked for the first time.
+    /// Adds the targets of a service to its pool at the service's first request.
     pub publisher: &'a Publisher,
     /// The clock.
     pub clock: &'a dyn Clock,
     /// The availability zone of this daemon.
     pub zone: &'a ZoneName,
-    /// Requests that may wait for one service.
+    /// The maximum number of requests that wait for one service.
     pub waiting_max: usize,
 }
 
-/// A place at a target, counted there until dropped.
-pub struct Place<'a> {
+/// A request's slot at a target, which is released when this value is dropped.
+pub struct Placement<'a> {
     pools: &'a Pools,
     service: ServiceName,
     /// The target.
     pub target: TargetName,
-    /// Whether the request had to wait.
+    /// Whether the request waited in the queue.
     pub queued: bool,
-    took: Option<Duration>,
+    response_time: Option<Duration>,
 }
 
-impl Place<'_> {
-    /// Says how long the whole answer took, for the estimate of waits.
-    pub fn answered(&mut self, took: Duration) {
-        self.took = Some(took);
+impl Placement<'_> {
+    /// Sets the duration of the full response, from which waiting times are estimated.
+    pub fn set_response_time(&mut self, response_time: Duration) {
+        self.response_time = Some(response_time);
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Placement<'_> {
     fn drop(&mut self) {
-        self.pools.release(&self.service, &self.target, self.took);
+        self.pools.release(&self.service, &self.target, self.response_time);
     }
 }
 
 impl<'a> Placer<'a> {
-    /// Finds a place for a request, waiting if that can be in time.
+    /// Places a request on a target, after a wait if it can still meet its deadline.
     ///
     /// # Errors
     ///
-    /// Fails if the request can't be served in time, is given up, or its caller leaves.
+    /// Fails if the request can't be served in time or is refused, or if its caller leaves.
     pub fn place(
         &self,
-        req: &Identified,
+        req: &IdentifiedRequest,
         avoid: &[TargetName],
         caller: &TcpStream,
-    ) -> Result<Place<'a>, Refusal> {
+    ) -> Result<Placement<'a>, Refusal> {
         let ask = Ask {
             service: &req.service,
             waiter: Waiter { rank: req.rank(), deadline: req.deadline },
@@ -80,11 +81,11 @@
         };
         let options = self.options(req);
         if !self.pools.prepare(&req.service, &options) {
-            // Rows and hosts that are known already fill a pool that has just been made.
+            // A new pool is filled from the rows and hosts that are already known.
             self.publisher.publish(&req.service);
         }
         match self.pools.acquire(&ask, options) {
-            Acquired::Granted(target) => Ok(self.granted(req, target, false)),
+            Acquired::Granted(target) => Ok(self.placement(req, target, false)),
             Acquired::Refused(refusal) => Err(refusal),
             Acquired::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
         }
@@ -92,14 +93,14 @@
 
     fn wait(
         &self,
-        req: &Identified,
+        req: &IdentifiedRequest,
         ticket: Ticket,
         rx: &Receiver<Signal>,
         caller: &TcpStream,
-    ) -> Result<Place<'a>, Refusal> {
+    ) -> Result<Placement<'a>, Refusal> {
         loop {
-            match self.pools.wait(rx, LOOK) {
-                Some(Signal::Granted(target)) => return Ok(self.granted(req, target, true)),
+            match self.pools.wait(rx, CALLER_POLL_INTERVAL) {
+                Some(Signal::Granted(target)) => return Ok(self.placement(req, target, true)),
                 Some(Signal::Refused(refusal)) => return Err(refusal),
                 None if presence::has_left(caller) => {
                     self.pools.abandon(&req.service, ticket, rx);
@@ -116,11 +117,22 @@
         }
     }
 
-    fn granted(&self, req: &Identified, target: TargetName, queued: bool) -> Place<'a> {
-        Place { pools: self.pools, service: req.service.clone(), target, queued, took: None }
+    fn placement(
+        &self,
+        req: &IdentifiedRequest,
+        target: TargetName,
+        queued: bool,
+    ) -> Placement<'a> {
+        Placement {
+            pools: self.pools,
+            service: req.service.clone(),
+            target,
+            queued,
+            response_time: None,
+        }
     }
 
-    fn options(&self, req: &Identified) -> PoolOptions {
+    fn options(&self, req: &IdentifiedRequest) -> PoolOptions {
         PoolOptions {
             availability_zone: self.zone.clone(),
             per_upstream: req.rule.requests.in_flight_per_replica,
--- a/crates/tansyknot-edge/src/upstream.rs
+++ b/crates/tansyknot-edge/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Connections to targets that know whether a byte has left and that can be cut from outside.
+//! Connections to targets that track whether a byte may have been sent, and that other threads can
+//! close.
 
 use std::{
     cell::RefCell,
@@ -19,116 +20,118 @@
     },
 };
 
-/// Input buffer of a connection; a token's event is far smaller.
-const INPUT_BYTES: usize = 16 << 10;
-/// Output buffer of a connection.
-const OUTPUT_BYTES: usize = 8 << 10;
-/// How long a connection to a target may take to open.
+/// Size of a connection's input buffer, far larger than the event of a token.
+const INPUT_BUFFER_BYTES: usize = 16 << 10;
+/// Size of a connection's output buffer.
+const OUTPUT_BUFFER_BYTES: usize = 8 << 10;
+/// Timeout for opening a connection to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections kept for each target.
-const IDLE_PER_TARGET: usize = 64;
-/// Idle connections kept in all.
-const IDLE_CONNECTIONS: usize = 1024;
-/// An idle connection is not used again after this long.
-const IDLE_AGE: Duration = Duration::from_secs(20);
+/// Maximum number of idle connections to each target.
+const MAX_IDLE_PER_TARGET: usize = 64;
+/// Maximum number of idle connections to all targets.
+const MAX_IDLE_CONNECTIONS: usize = 1024;
+/// Idle connections older than this are not reused.
+const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
 
 /// A connection and the attempt that used it last.
 #[derive(Debug)]
-struct Line {
+struct Connection {
     stream: TcpStream,
     owner: Mutex<u64>,
 }
 
-/// What becomes of one attempt's bytes.
+/// A handle of an attempt, which tracks whether bytes may have been sent, and by which another thread
+/// can abort the attempt.
 #[derive(Debug)]
-pub struct Wire {
+pub struct AttemptHandle {
     id: u64,
     sent: AtomicBool,
-    cut: AtomicBool,
-    line: Mutex<Option<Arc<Line>>>,
+    aborted: AtomicBool,
+    connection: Mutex<Option<Arc<Connection>>>,
 }
 
-impl Wire {
-    /// Makes the wire of a new attempt.
+impl AttemptHandle {
+    /// Creates the handle of a new attempt.
     pub fn new() -> Self {
-        static NEXT: AtomicU64 = AtomicU64::new(1);
+        static NEXT_ID: AtomicU64 = AtomicU64::new(1);
         Self {
-            id: NEXT.fetch_add(1, Ordering::Relaxed),
+            id: NEXT_ID.fetch_add(1, Ordering::Relaxed),
             sent: AtomicBool::new(false),
-            cut: AtomicBool::new(false),
-            line: Mutex::new(None),
+            aborted: AtomicBool::new(false),
+            connection: Mutex::new(None),
         }
     }
 
-    /// Tells whether any byte may have left for the target.
-    pub fn sent(&self) -> bool {
+    /// Returns whether any byte may have been sent to the target.
+    pub fn may_have_sent(&self) -> bool {
         self.sent.load(Ordering::SeqCst)
     }
 
-    /// Tells whether the attempt was cut from outside.
-    pub fn is_cut(&self) -> bool {
-        self.cut.load(Ordering::SeqCst)
+    /// Returns whether the attempt was aborted.
+    pub fn is_aborted(&self) -> bool {
+        self.aborted.load(Ordering::SeqCst)
     }
 
-    /// Cuts the attempt: its connection is closed and nothing more is sent.
+    /// Aborts the attempt: closes its connection, after which nothing more is sent.
     ///
-    /// A connection that another attempt has taken from the pool meanwhile is left alone.
-    pub fn cut(&self) {
-        self.cut.store(true, Ordering::SeqCst);
-        let line = self.line.lock().expect("no holder of the lock panics");
-        let Some(line) = line.as_ref() else { return };
-        let owner = line.owner.lock().expect("no holder of the lock panics");
+    /// A connection that another attempt has taken from the pool in the meantime is not closed.
+    pub fn abort(&self) {
+        self.aborted.store(true, Ordering::SeqCst);
+        let connection = self.connection.lock().expect("the lock is not poisoned");
+        let Some(connection) = connection.as_ref() else { return };
+        let owner = connection.owner.lock().expect("the lock is not poisoned");
         if *owner == self.id {
-            let _ = line.stream.shutdown(Shutdown::Both);
+            let _ = connection.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Notes that bytes are about to leave over `line`; `false` if the attempt was cut.
-    fn begin_send(&self, line: &Arc<Line>) -> bool {
-        let mut current = self.line.lock().expect("no holder of the lock panics");
-        if self.is_cut() {
+    /// Records that bytes are about to be sent over `connection`. Returns `false` if the attempt was
+    /// aborted.
+    fn begin_send(&self, connection: &Arc<Connection>) -> bool {
+        let mut current = self.connection.lock().expect("the lock is not poisoned");
+        if self.is_aborted() {
             return false;
         }
-        *line.owner.lock().expect("no holder of the lock panics") = self.id;
-        *current = Some(Arc::clone(line));
+        *connection.owner.lock().expect("the lock is not poisoned") = self.id;
+        *current = Some(Arc::clone(connection));
         self.sent.store(true, Ordering::SeqCst);
         true
     }
 }
 
-impl Default for Wire {
+impl Default for AttemptHandle {
     fn default() -> Self {
         Self::new()
     }
 }
 
 thread_local! {
-    static CURRENT: RefCell<Option<Arc<Wire>>> = const { RefCell::new(None) };
+    static CURRENT_HANDLE: RefCell<Option<Arc<AttemptHandle>>> = const { RefCell::new(None) };
 }
 
-/// Runs `f` with `wire` in charge of every byte that this thread sends to targets.
-pub fn with_wire<T>(wire: &Arc<Wire>, f: impl FnOnce() -> T) -> T {
-    CURRENT.with(|c| *c.borrow_mut() = Some(Arc::clone(wire)));
+/// Runs `f` while `handle` tracks every byte that this thread sends to targets.
+pub fn with_handle<T>(handle: &Arc<AttemptHandle>, f: impl FnOnce() -> T) -> T {
+    CURRENT_HANDLE.with(|c| *c.borrow_mut() = Some(Arc::clone(handle)));
     let result = f();
-    CURRENT.with(|c| *c.borrow_mut() = None);
+    CURRENT_HANDLE.with(|c| *c.borrow_mut() = None);
     result
 }
 
-/// Whether connections to targets are used again.
+/// Whether connections to targets are reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reuse {
-    /// Idle connections are kept.
+pub enum ConnectionReuse {
+    /// Idle connections are kept for reuse.
     Pooled,
-    /// Each request has a connection of its own, so that "no byte was sent" can be told from a
-    /// connection that the target closed a moment ago.
+    /// Each request has its own connection, so that a request of which no byte was sent can be
+    /// distinguished from one on a connection that the target has just closed.
     Fresh,
 }
 
-/// Makes the agent that requests to targets go through.
-pub fn agent(reuse: Reuse) -> ureq::Agent {
+/// Creates the HTTP agent for requests to targets.
+pub fn agent(reuse: ConnectionReuse) -> ureq::Agent {
     let (idle, idle_per_target) = match reuse {
-        Reuse::Pooled => (IDLE_CONNECTIONS, IDLE_PER_TARGET),
-        Reuse::Fresh => (0, 0),
+        ConnectionReuse::Pooled => (MAX_IDLE_CONNECTIONS, MAX_IDLE_PER_TARGET),
+        ConnectionReuse::Fresh => (0, 0),
     };
     let cfg = ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -137,32 +140,32 @@
         .allow_non_standard_methods(true)
         .proxy(None)
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .input_buffer_size(INPUT_BYTES)
-        .output_buffer_size(OUTPUT_BYTES)
+        .input_buffer_size(INPUT_BUFFER_BYTES)
+        .output_buffer_size(OUTPUT_BUFFER_BYTES)
         .max_idle_connections(idle)
         .max_idle_connections_per_host(idle_per_target)
-        .max_idle_age(IDLE_AGE)
+        .max_idle_age(MAX_IDLE_AGE)
         .build();
-    ureq::Agent::with_parts(cfg, WireConnector, DefaultResolver::default())
+    ureq::Agent::with_parts(cfg, TrackedConnector, DefaultResolver::default())
 }
 
 #[derive(Debug)]
-struct WireConnector;
+struct TrackedConnector;
 
-impl Connector<()> for WireConnector {
-    type Out = WireTransport;
+impl Connector<()> for TrackedConnector {
+    type Out = TrackedTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails<'_>,
         _: Option<()>,
-    ) -> Result<Option<WireTransport>, Error> {
+    ) -> Result<Option<TrackedTransport>, Error> {
         let mut last = Error::ConnectionFailed;
         for addr in details.addrs.iter() {
             match TcpStream::connect_timeout(addr, CONNECT_TIMEOUT) {
                 Ok(stream) => {
                     stream.set_nodelay(true)?;
-                    return Ok(Some(WireTransport::new(stream)));
+                    return Ok(Some(TrackedTransport::new(stream)));
                 }
                 Err(e) => last = Error::Io(e),
             }
@@ -171,82 +174,85 @@
     }
 }
 
-struct WireTransport {
-    line: Arc<Line>,
+struct TrackedTransport {
+    connection: Arc<Connection>,
     read_timeout: Option<Duration>,
     buffers: LazyBuffers,
 }
 
-impl std::fmt::Debug for WireTransport {
+impl std::fmt::Debug for TrackedTransport {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("WireTransport").field("line", &self.line).finish_non_exhaustive()
+        f.debug_struct("TrackedTransport")
+            .field("connection", &self.connection)
+            .finish_non_exhaustive()
     }
 }
 
-impl WireTransport {
+impl TrackedTransport {
     fn new(stream: TcpStream) -> Self {
-        let buffers = LazyBuffers::new(INPUT_BYTES, OUTPUT_BYTES);
+        let buffers = LazyBuffers::new(INPUT_BUFFER_BYTES, OUTPUT_BUFFER_BYTES);
         let owner = Mutex::new(0);
-        let line = Arc::new(Line { stream, owner });
-        Self { line, read_timeout: None, buffers }
+        let connection = Arc::new(Connection { stream, owner });
+        Self { connection, read_timeout: None, buffers }
     }
 }
 
-impl Transport for WireTransport {
+impl Transport for TrackedTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         &mut self.buffers
     }
 
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
-        let wire = CURRENT.with(|c| c.borrow().clone());
-        if wire.is_some_and(|wire| !wire.begin_send(&self.line)) {
+        let handle = CURRENT_HANDLE.with(|c| c.borrow().clone());
+        if handle.is_some_and(|handle| !handle.begin_send(&self.connection)) {
             return Err(Error::Io(io::ErrorKind::ConnectionAborted.into()));
         }
-        let left = span(timeout)?;
-        self.line.stream.set_write_timeout(left)?;
+        let remaining = remaining_time(timeout)?;
+        self.connection.stream.set_write_timeout(remaining)?;
         let output = &self.buffers.output()[..amount];
-        (&self.line.stream).write_all(output).map_err(|e| timed_out(e, timeout.reason))
+        (&self.connection.stream).write_all(output).map_err(|e| to_ureq_error(e, timeout.reason))
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let left = span(timeout)?.map(coarse);
-        // Setting the timeout costs a system call, which would be one for each token.
-        if left != self.read_timeout {
-            self.line.stream.set_read_timeout(left)?;
-            self.read_timeout = left;
+        let remaining = remaining_time(timeout)?.map(round_up);
+        // Setting the timeout costs a system call, so it is not done for each token.
+        if remaining != self.read_timeout {
+            self.connection.stream.set_read_timeout(remaining)?;
+            self.read_timeout = remaining;
         }
         let input = self.buffers.input_append_buf();
-        let n = (&self.line.stream).read(input).map_err(|e| timed_out(e, timeout.reason))?;
+        let n =
+            (&self.connection.stream).read(input).map_err(|e| to_ureq_error(e, timeout.reason))?;
         self.buffers.input_appended(n);
         Ok(n > 0)
     }
 
     fn is_open(&mut self) -> bool {
-        // Any byte that waits on an idle connection belongs to an answer nobody asked for.
+        // Bytes on an idle connection belong to no request, so the connection can't be reused.
         let mut probe = [0; 1];
-        let nonblocking = self.line.stream.set_nonblocking(true);
-        let peeked = self.line.stream.peek(&mut probe);
-        let blocking = self.line.stream.set_nonblocking(false);
+        let nonblocking = self.connection.stream.set_nonblocking(true);
+        let peeked = self.connection.stream.peek(&mut probe);
+        let blocking = self.connection.stream.set_nonblocking(false);
         let idle = matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         nonblocking.is_ok() && blocking.is_ok() && idle
     }
 }
 
-/// Timeouts above this are rounded up to a multiple of it.
-const COARSE: Duration = Duration::from_millis(500);
+/// Longer read timeouts are rounded up to a multiple of this.
+const TIMEOUT_STEP: Duration = Duration::from_millis(500);
 
-/// Rounds a long timeout up, so that it stays the same over many reads.
+/// Rounds a long timeout up, so that it stays the same for many reads.
 ///
-/// A read may then end up to this much past the deadline.
-fn coarse(left: Duration) -> Duration {
-    if left <= COARSE {
-        return left;
+/// A read may therefore end up to [`TIMEOUT_STEP`] after the deadline.
+fn round_up(remaining: Duration) -> Duration {
+    if remaining <= TIMEOUT_STEP {
+        return remaining;
     }
-    let steps = left.as_millis().div_ceil(COARSE.as_millis());
-    COARSE * u32::try_from(steps).unwrap_or(u32::MAX)
+    let steps = remaining.as_millis().div_ceil(TIMEOUT_STEP.as_millis());
+    TIMEOUT_STEP * u32::try_from(steps).unwrap_or(u32::MAX)
 }
 
-fn span(timeout: NextTimeout) -> Result<Option<Duration>, Error> {
+fn remaining_time(timeout: NextTimeout) -> Result<Option<Duration>, Error> {
     if timeout.after.is_not_happening() {
         return Ok(None);
     }
@@ -256,7 +262,7 @@
     Ok(Some(*timeout.after))
 }
 
-fn timed_out(e: io::Error, reason: Timeout) -> Error {
+fn to_ureq_error(e: io::Error, reason: Timeout) -> Error {
     match e.kind() {
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => Error::Timeout(reason),
         _ => Error::Io(e),
--- a/crates/tansyknot-edge/src/watch.rs
+++ b/crates/tansyknot-edge/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches callers whose requests are with a target, and cuts the attempt when one leaves.
+//! Watches callers with an attempt in progress, and aborts the attempt when the caller leaves.
 
 use std::{
     collections::HashMap,
@@ -11,18 +11,18 @@
 
 use tansyknot_http::presence;
 
-use crate::upstream::Wire;
+use crate::upstream::AttemptHandle;
 
-struct Watched {
+struct WatchedAttempt {
     caller: Arc<TcpStream>,
-    wire: Arc<Wire>,
+    handle: Arc<AttemptHandle>,
 }
 
-/// The callers with an attempt under way.
+/// The callers with an attempt in progress.
 #[derive(Default)]
 pub struct CallerWatch {
-    next: AtomicU64,
-    watched: Mutex<HashMap<u64, Watched>>,
+    next_id: AtomicU64,
+    watched: Mutex<HashMap<u64, WatchedAttempt>>,
 }
 
 /// Ends the watch when it is dropped.
@@ -33,23 +33,25 @@
 
 impl CallerWatch {
     /// Watches `caller` until the guard is dropped.
-    pub fn watch(&self, caller: &Arc<TcpStream>, wire: &Arc<Wire>) -> WatchGuard<'_> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let watched = Watched { caller: Arc::clone(caller), wire: Arc::clone(wire) };
-        self.watched.lock().expect("no holder of the lock panics").insert(id, watched);
+    pub fn watch(&self, caller: &Arc<TcpStream>, handle: &Arc<AttemptHandle>) -> WatchGuard<'_> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let watched = WatchedAttempt { caller: Arc::clone(caller), handle: Arc::clone(handle) };
+        self.watched.lock().expect("the lock is not poisoned").insert(id, watched);
         WatchGuard { watch: self, id }
     }
 
-    /// Looks at every caller once; returns how many have left.
+    /// Checks every caller once and aborts the attempts of those that have left. Returns how many
+    /// have left.
     pub fn look(&self) -> usize {
-        let watched = self.watched.lock().expect("no holder of the lock panics");
-        let left = watched.values().filter(|w| !w.wire.is_cut() && presence::has_left(&w.caller));
-        left.inspect(|w| w.wire.cut()).count()
+        let watched = self.watched.lock().expect("the lock is not poisoned");
+        let departed =
+            watched.values().filter(|w| !w.handle.is_aborted() && presence::has_left(&w.caller));
+        departed.inspect(|w| w.handle.abort()).count()
     }
 }
 
 impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
-        self.watch.watched.lock().expect("no holder of the lock panics").remove(&self.id);
+        self.watch.watched.lock().expect("the lock is not poisoned").remove(&self.id);
     }
 }
