--- a/crates/tansyknot-edge/tests/at_most_once.rs
+++ b/crates/tansyknot-edge/tests/at_most_once.rs
@@ -1,8 +1,8 @@
-//! Requests that run at most once, through two daemons, with kills and lost replies between.
+//! Requests that run at most once, sent through two daemons, with lost messages and a killed daemon.
 
 mod support;
 
-use support::{Outside, exchange, request, status};
+use support::{TestPlatform, exchange, request, status};
 use tansyknot_core::refusal::Reason;
 use tansyknot_standins::{fake::CommitFault, plain::PlainFaults};
 use yare::parameterized;
@@ -11,50 +11,50 @@
     request("POST /services/registry/record", &[&format!("idempotency-key: {key}")], body)
 }
 
-fn code(answer: &str) -> &str {
-    let rest = answer.split("\"code\":\"").nth(1).unwrap_or_default();
+fn code(response: &str) -> &str {
+    let rest = response.split("\"code\":\"").nth(1).unwrap_or_default();
     rest.split('"').next().unwrap_or_default()
 }
 
 #[test]
 fn retry_through_another_daemon_gets_the_first_answer() {
-    let outside = Outside::new();
-    let (first, second) = (outside.front(), outside.front());
-    let one = exchange(first.address, &call("k", "load 7"));
-    let two = exchange(second.address, &call("k", "load 7"));
-    assert_eq!(status(&one), 200);
-    assert_eq!(status(&two), 200);
-    assert!(two.contains("idempotency-replayed: true"));
-    assert!(two.contains("\"runs\":1"));
-    assert_eq!(outside.plain.runs("load 7"), 1);
+    let platform = TestPlatform::new();
+    let (first, second) = (platform.start_daemon(), platform.start_daemon());
+    let first_response = exchange(first.address, &call("k", "load 7"));
+    let second_response = exchange(second.address, &call("k", "load 7"));
+    assert_eq!(status(&first_response), 200);
+    assert_eq!(status(&second_response), 200);
+    assert!(second_response.contains("idempotency-replayed: true"));
+    assert!(second_response.contains("\"runs\":1"));
+    assert_eq!(platform.plain.runs("load 7"), 1);
 }
 
 #[test]
 fn key_with_another_body_is_refused() {
-    let outside = Outside::new();
-    let front = outside.front();
-    exchange(front.address, &call("k", "load 7"));
-    let other = exchange(front.address, &call("k", "load 8"));
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    exchange(daemon.address, &call("k", "load 7"));
+    let other = exchange(daemon.address, &call("k", "load 8"));
     assert_eq!(code(&other), Reason::KeyReused.code());
-    assert_eq!(outside.plain.runs("load 8"), 0);
+    assert_eq!(platform.plain.runs("load 8"), 0);
 }
 
 #[test]
 fn answer_lost_after_the_run_is_unknown_and_never_run_again() {
-    let outside = Outside::new();
-    *outside.plain.faults.lock().expect("no panic") =
+    let platform = TestPlatform::new();
+    *platform.plain.faults.lock().expect("the lock is not poisoned") =
         PlainFaults { cut_answers: true, ..PlainFaults::default() };
-    let (first, second) = (outside.front(), outside.front());
-    let one = exchange(first.address, &call("k", "load 7"));
-    assert!(one.contains("\"outcome\":\"unknown\""), "{one}");
-    *outside.plain.faults.lock().expect("no panic") = PlainFaults::default();
-    let two = exchange(second.address, &call("k", "load 7"));
-    assert_eq!(code(&two), Reason::KeyInUse.code());
-    assert!(two.contains("\"outcome\":\"unknown\""), "{two}");
-    assert_eq!(outside.plain.runs("load 7"), 1);
+    let (first, second) = (platform.start_daemon(), platform.start_daemon());
+    let first_response = exchange(first.address, &call("k", "load 7"));
+    assert!(first_response.contains("\"outcome\":\"unknown\""), "{first_response}");
+    *platform.plain.faults.lock().expect("the lock is not poisoned") = PlainFaults::default();
+    let second_response = exchange(second.address, &call("k", "load 7"));
+    assert_eq!(code(&second_response), Reason::KeyInUse.code());
+    assert!(second_response.contains("\"outcome\":\"unknown\""), "{second_response}");
+    assert_eq!(platform.plain.runs("load 7"), 1);
 }
 
-/// What the table loses around the first use of a key, and whether the call then runs.
+/// Each case lists the faults of the table during the first use of a key, and whether the call runs.
 #[parameterized(
     reply_of_the_row_lost = { &[CommitFault::LostReply], 200, 1 },
     request_of_the_row_lost = { &[CommitFault::LostRequest], 200, 1 },
@@ -63,48 +63,48 @@
     answers_row_lost = { &[CommitFault::None, CommitFault::LostRequest, CommitFault::Unreachable], 200, 1 },
 )]
 fn lost_table_messages_never_run_a_call_twice(faults: &[CommitFault], expected: u16, runs: u64) {
-    let outside = Outside::new();
-    let (first, second) = (outside.front(), outside.front());
+    let platform = TestPlatform::new();
+    let (first, second) = (platform.start_daemon(), platform.start_daemon());
     first.table.script(faults.iter().copied());
-    let one = exchange(first.address, &call("k", "load 7"));
-    assert_eq!(status(&one), expected, "{one}");
-    assert_eq!(outside.plain.runs("load 7"), runs);
-    let _two = exchange(second.address, &call("k", "load 7"));
-    assert!(outside.plain.runs("load 7") <= 1);
+    let first_response = exchange(first.address, &call("k", "load 7"));
+    assert_eq!(status(&first_response), expected, "{first_response}");
+    assert_eq!(platform.plain.runs("load 7"), runs);
+    let _second_response = exchange(second.address, &call("k", "load 7"));
+    assert!(platform.plain.runs("load 7") <= 1);
 }
 
 #[test]
 fn table_down_refuses_first_runs_at_once_and_says_when_to_come_back() {
-    let outside = Outside::new();
-    let front = outside.front();
-    front.table.set_down(true);
-    let answer = exchange(front.address, &call("k", "load 7"));
-    assert_eq!(code(&answer), Reason::StoreUnavailable.code());
-    assert!(answer.contains("retry-after: 5"), "{answer}");
-    assert!(answer.contains("\"outcome\":\"not_run\""));
-    assert_eq!(outside.plain.runs("load 7"), 0);
-    // Warm traffic that needs no row goes on.
-    let warm = exchange(front.address, &support::completion("permit", false, 1));
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    daemon.table.set_down(true);
+    let response = exchange(daemon.address, &call("k", "load 7"));
+    assert_eq!(code(&response), Reason::StoreUnavailable.code());
+    assert!(response.contains("retry-after: 5"), "{response}");
+    assert!(response.contains("\"outcome\":\"not_run\""));
+    assert_eq!(platform.plain.runs("load 7"), 0);
+    // Requests to loaded models need no row and are still served.
+    let warm = exchange(daemon.address, &support::completion("permit", false, 1));
     assert_eq!(status(&warm), 200);
 }
 
 #[test]
 fn call_that_was_not_run_frees_its_key() {
-    let outside = Outside::new();
-    outside.unplug(2);
-    let front = outside.front();
-    let answer = exchange(front.address, &call("k", "load 7"));
-    assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
-    let rows = outside.table.state.scan("key/", "", 10);
+    let platform = TestPlatform::new();
+    platform.disconnect(2);
+    let daemon = platform.start_daemon();
+    let response = exchange(daemon.address, &call("k", "load 7"));
+    assert!(response.contains("\"outcome\":\"not_run\""), "{response}");
+    let rows = platform.table.state.scan("key/", "", 10);
     assert!(rows.is_empty(), "{rows:?}");
 }
 
 #[test]
 fn daemon_killed_after_the_row_leaves_the_call_unknown() {
     use tansyknot_control::idempotency::{self, KeyUse};
-    let outside = Outside::new();
-    let front = outside.front();
-    // What a daemon that is killed between the row and the first byte leaves behind.
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    // The row that a daemon leaves if it is killed after it wrote the row and before it sends a byte.
     let body = "load 7";
     let hash = xxhash_rust::xxh3::xxh3_128(format!("registry /record {body}").as_bytes());
     let key = KeyUse {
@@ -115,11 +115,11 @@
         incarnation: &"d9#1".into(),
         at_ms: now_ms(),
     };
-    idempotency::begin(&outside.table, &key).expect("the table is up");
-    let answer = exchange(front.address, &call("k", body));
-    assert_eq!(code(&answer), Reason::KeyInUse.code(), "{answer}");
-    assert!(answer.contains("\"outcome\":\"unknown\""));
-    assert_eq!(outside.plain.runs(body), 0);
+    idempotency::begin(&platform.table, &key).expect("the table is up");
+    let response = exchange(daemon.address, &call("k", body));
+    assert_eq!(code(&response), Reason::KeyInUse.code(), "{response}");
+    assert!(response.contains("\"outcome\":\"unknown\""));
+    assert_eq!(platform.plain.runs(body), 0);
 }
 
 fn now_ms() -> u64 {
@@ -129,18 +129,19 @@
 
 #[test]
 fn two_daemons_at_once_run_the_call_once() {
-    let outside = Outside::new();
-    *outside.plain.faults.lock().expect("no panic") =
+    let platform = TestPlatform::new();
+    *platform.plain.faults.lock().expect("the lock is not poisoned") =
         PlainFaults { slow_ms: 20, ..PlainFaults::default() };
-    let fronts = [outside.front(), outside.front(), outside.front()];
-    let threads: Vec<_> = fronts
+    let daemons = [platform.start_daemon(), platform.start_daemon(), platform.start_daemon()];
+    let threads: Vec<_> = daemons
         .iter()
-        .map(|front| {
-            let address = front.address;
+        .map(|daemon| {
+            let address = daemon.address;
             std::thread::spawn(move || exchange(address, &call("k", "load 7")))
         })
         .collect();
-    let answers: Vec<String> = threads.into_iter().map(|t| t.join().expect("no panic")).collect();
-    assert_eq!(answers.iter().filter(|a| status(a) == 200).count(), 1, "{answers:?}");
-    assert_eq!(outside.plain.runs("load 7"), 1);
+    let responses: Vec<String> =
+        threads.into_iter().map(|t| t.join().expect("the thread does not panic")).collect();
+    assert_eq!(responses.iter().filter(|a| status(a) == 200).count(), 1, "{responses:?}");
+    assert_eq!(platform.plain.runs("load 7"), 1);
 }
--- a/crates/tansyknot-edge/tests/bad_input.rs
+++ b/crates/tansyknot-edge/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: each a typed refusal, nothing reaches a target, and the daemon goes on.
+//! Bad input gets a typed refusal, does not reach a target, and does not stop the daemon.
 
 mod support;
 
@@ -9,7 +9,7 @@
 };
 
 use proptest::prelude::*;
-use support::{KEY, Outside, completion, default_options, exchange, request, status};
+use support::{KEY, TestPlatform, completion, default_options, exchange, request, status};
 use tansyknot_core::refusal::Reason;
 use tansyknot_edge::http::head;
 use yare::parameterized;
@@ -50,65 +50,66 @@
     empty_key = { request("POST /services/registry/x", &["idempotency-key: "], "x"), Reason::BadRequest },
 )]
 fn bad_request_is_refused_and_the_next_one_served(bytes: Vec<u8>, reason: Reason) {
-    let outside = Outside::new();
-    let front = outside.front();
-    let answer = exchange(front.address, &bytes);
-    assert_eq!(status(&answer), reason.status(), "{answer}");
-    assert!(answer.contains(&format!("\"code\":\"{}\"", reason.code())), "{answer}");
-    assert!(answer.contains("\"outcome\":\"not_run\""), "{answer}");
-    assert!(answer.contains("application/problem+json"), "{answer}");
-    assert_eq!(outside.started(), 0);
-    assert_eq!(status(&exchange(front.address, &completion("permit", false, 1))), 200);
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    let response = exchange(daemon.address, &bytes);
+    assert_eq!(status(&response), reason.status(), "{response}");
+    assert!(response.contains(&format!("\"code\":\"{}\"", reason.code())), "{response}");
+    assert!(response.contains("\"outcome\":\"not_run\""), "{response}");
+    assert!(response.contains("application/problem+json"), "{response}");
+    assert_eq!(platform.started(), 0);
+    assert_eq!(status(&exchange(daemon.address, &completion("permit", false, 1))), 200);
 }
 
 #[test]
 fn slow_sender_is_refused() {
-    let outside = Outside::new();
+    let platform = TestPlatform::new();
     let options = tansyknot_edge::http::server::ServerOptions {
         receive_timeout: Duration::from_millis(20),
         ..default_options()
     };
-    let front = outside.front_with(&options);
-    let answer = exchange(front.address, b"POST /v1/completions HTTP/1.1\r\nhost");
-    assert_eq!(status(&answer), Reason::SlowSender.status(), "{answer}");
+    let daemon = platform.start_daemon_with(&options);
+    let response = exchange(daemon.address, b"POST /v1/completions HTTP/1.1\r\nhost");
+    assert_eq!(status(&response), Reason::SlowSender.status(), "{response}");
 }
 
 #[test]
-fn connection_over_the_bound_is_refused_and_room_is_given_back() {
-    let outside = Outside::new();
+fn connection_over_the_limit_is_refused_until_others_are_closed() {
+    let platform = TestPlatform::new();
     let options =
         tansyknot_edge::http::server::ServerOptions { connections: 2, ..default_options() };
-    let front = outside.front_with(&options);
-    let idle: Vec<TcpStream> =
-        (0..2).map(|_| TcpStream::connect(front.address).expect("it listens")).collect();
-    while front.lifecycle.connections() < 2 {
+    let daemon = platform.start_daemon_with(&options);
+    let idle: Vec<TcpStream> = (0..2)
+        .map(|_| TcpStream::connect(daemon.address).expect("the daemon is listening"))
+        .collect();
+    while daemon.lifecycle.connections() < 2 {
         std::thread::yield_now();
     }
-    let answer = exchange(front.address, &completion("permit", false, 1));
-    assert_eq!(status(&answer), Reason::TooManyConnections.status());
-    assert!(answer.contains("retry-after: 1"), "{answer}");
+    let response = exchange(daemon.address, &completion("permit", false, 1));
+    assert_eq!(status(&response), Reason::TooManyConnections.status());
+    assert!(response.contains("retry-after: 1"), "{response}");
     drop(idle);
-    while front.lifecycle.connections() > 0 {
+    while daemon.lifecycle.connections() > 0 {
         std::thread::yield_now();
     }
-    assert_eq!(status(&exchange(front.address, &completion("permit", false, 1))), 200);
+    assert_eq!(status(&exchange(daemon.address, &completion("permit", false, 1))), 200);
 }
 
 #[test]
 fn forged_headers_do_not_reach_the_target() {
-    let outside = Outside::new();
-    let front = outside.front();
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
     let forged = ["x-caller: somebody-else", "x-request-id: 1", "x-priority: 9"];
-    let answer = exchange(front.address, &request("POST /services/letters/x", &forged, "f"));
-    assert!(answer.contains("\"caller\":\"hauler\""), "{answer}");
+    let response = exchange(daemon.address, &request("POST /services/letters/x", &forged, "f"));
+    assert!(response.contains("\"caller\":\"hauler\""), "{response}");
 }
 
 #[test]
 fn caller_over_its_limit_is_told_when_to_come_back() {
-    let outside = Outside::new();
-    outside.plain.faults.lock().expect("no panic").hold = true;
-    let front = outside.front();
-    let address = front.address;
+    let platform = TestPlatform::new();
+    platform.plain.faults.lock().expect("the lock is not poisoned").hold = true;
+    let daemon = platform.start_daemon();
+    let address = daemon.address;
     let call = |i: usize| request("POST /services/letters/x", &[], &format!("{i}"));
     let within: Vec<_> = (0..4)
         .map(|i| {
@@ -116,26 +117,29 @@
             std::thread::spawn(move || exchange(address, &bytes))
         })
         .collect();
-    while front.pools.in_flight() < 4 {
+    while daemon.pools.in_flight() < 4 {
         std::thread::yield_now();
     }
     for i in 4..8 {
-        let answer = exchange(address, &call(i));
-        assert_eq!(status(&answer), 429, "{answer}");
-        assert!(answer.contains("retry-after: ") && answer.contains("\"not_run\""), "{answer}");
+        let response = exchange(address, &call(i));
+        assert_eq!(status(&response), 429, "{response}");
+        assert!(
+            response.contains("retry-after: ") && response.contains("\"not_run\""),
+            "{response}"
+        );
     }
-    outside.plain.faults.lock().expect("no panic").hold = false;
+    platform.plain.faults.lock().expect("the lock is not poisoned").hold = false;
     for thread in within {
-        assert_eq!(status(&thread.join().expect("no panic")), 200);
+        assert_eq!(status(&thread.join().expect("the thread does not panic")), 200);
     }
 }
 
-/// Found by a burst of first requests: all but the first saw a pool without targets.
+/// Guards against concurrent first requests of a service that see its pool before it has targets.
 #[test]
-fn burst_of_first_requests_for_a_service_that_is_there_is_served() {
-    let outside = Outside::new();
-    let front = outside.front();
-    let address = front.address;
+fn concurrent_first_requests_for_a_ready_service_are_served() {
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    let address = daemon.address;
     let threads: Vec<_> = (0..4)
         .map(|i| {
             let bytes = request("POST /services/letters/x", &[], &format!("{i}"));
@@ -143,31 +147,31 @@
         })
         .collect();
     for thread in threads {
-        assert_eq!(status(&thread.join().expect("no panic")), 200);
+        assert_eq!(status(&thread.join().expect("the thread does not panic")), 200);
     }
 }
 
 #[test]
-fn stock_clients_habits_are_understood() {
-    let outside = Outside::new();
-    let front = outside.front();
-    let mut stream = TcpStream::connect(front.address).expect("it listens");
+fn continue_expectation_and_chunked_body_are_accepted() {
+    let platform = TestPlatform::new();
+    let daemon = platform.start_daemon();
+    let mut stream = TcpStream::connect(daemon.address).expect("the daemon is listening");
     let head = format!(
         "POST /services/letters/x HTTP/1.1\r\nAuthorization: bearer {KEY}\r\n\
          Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
-    stream.write_all(head.as_bytes()).expect("it listens");
-    let mut word = [0; 25];
-    stream.read_exact(&mut word).expect("it answers");
-    assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
-    stream.write_all(b"5\r\nhello\r\n0\r\n\r\n").expect("it listens");
+    stream.write_all(head.as_bytes()).expect("the daemon is listening");
+    let mut interim = [0; 25];
+    stream.read_exact(&mut interim).expect("the daemon responds");
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
+    stream.write_all(b"5\r\nhello\r\n0\r\n\r\n").expect("the daemon is listening");
     let mut buf = [0; 4096];
-    let n = stream.read(&mut buf).expect("it answers");
+    let n = stream.read(&mut buf).expect("the daemon responds");
     assert!(String::from_utf8_lossy(&buf[..n]).contains("200 OK"));
-    assert_eq!(outside.plain.runs("hello"), 1);
+    assert_eq!(platform.plain.runs("hello"), 1);
     // The same connection serves the next request.
-    stream.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").expect("it listens");
-    let n = stream.read(&mut buf).expect("it answers");
+    stream.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").expect("the daemon is listening");
+    let n = stream.read(&mut buf).expect("the daemon responds");
     assert!(String::from_utf8_lossy(&buf[..n]).ends_with("ok\n"));
 }
 
--- a/crates/tansyknot-edge/tests/support/mod.rs
+++ b/crates/tansyknot-edge/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! One pipeline before stand-ins of two engines and a plain service, without a control loop.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Daemons with a request pipeline but no control loop, and stand-ins for two engines, a plain
+//! service, the table service and the list of hosts.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 use std::{
     io::{Read, Write},
@@ -105,8 +106,8 @@
 limits: {in_flight: 4}
 ";
 
-/// Everything outside of a pipeline.
-pub(crate) struct Outside {
+/// The stand-ins for the platform and the targets.
+pub(crate) struct TestPlatform {
     pub(crate) table: FakeTable,
     pub(crate) hosts: FakeHosts,
     pub(crate) engines: Vec<Arc<Engine>>,
@@ -114,31 +115,31 @@
     running: Vec<Running>,
 }
 
-/// A pipeline with its server.
-pub(crate) struct Front {
+/// A pipeline and its server.
+pub(crate) struct TestDaemon {
     pub(crate) address: SocketAddr,
     pub(crate) table: FakeTable,
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) pools: Arc<Pools>,
     pub(crate) watch: Arc<CallerWatch>,
     pub(crate) explainer: Arc<Explainer>,
-    pub(crate) orders: Arc<NoOrders>,
+    pub(crate) orders: Arc<RecordedOrders>,
 }
 
-/// Notes the orders that the pipeline gives.
+/// Records the orders that the pipeline issues.
 #[derive(Default)]
-pub(crate) struct NoOrders {
+pub(crate) struct RecordedOrders {
     not_loaded: Mutex<Vec<ServiceName>>,
     pub(crate) cancelled: Mutex<Vec<AttemptId>>,
 }
 
-impl Replicas for NoOrders {
+impl Replicas for RecordedOrders {
     fn not_loaded(&self, service: &ServiceName) {
-        self.not_loaded.lock().expect("no panic").push(service.clone());
+        self.not_loaded.lock().expect("the lock is not poisoned").push(service.clone());
     }
 
     fn cancel(&self, _: &Target, attempt: &AttemptId) {
-        self.cancelled.lock().expect("no panic").push(attempt.clone());
+        self.cancelled.lock().expect("the lock is not poisoned").push(attempt.clone());
     }
 
     fn load_adapter(
@@ -155,7 +156,7 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-impl Outside {
+impl TestPlatform {
     /// Starts two engines with both models and a plain service.
     pub(crate) fn new() -> Self {
         let mut running = Vec::new();
@@ -169,7 +170,7 @@
             };
             let (server, engine) = engine::start(loopback(), options).expect("a port is free");
             for service in ["permit", "once-model"] {
-                load(&engine, service);
+                load_model(&engine, service);
             }
             let name = format!("e{i}");
             targets.push(target(&name, server.address, TargetKind::Engine, "models"));
@@ -183,31 +184,31 @@
         hosts.state.set(targets);
         let table = FakeTable::default();
         let text = OBJECTS.replace("HASH", &store::key_hash(KEY));
-        let objects = document::read(&text, "test").expect("the test's objects are right");
+        let objects = document::read(&text, "test").expect("the test objects are valid");
         let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
         let author = Author { name: "test".to_owned(), at_ms: 0 };
-        config::apply(&table, 0, &ops, &author).expect("nobody races");
+        config::apply(&table, 0, &ops, &author).expect("there is no concurrent writer");
         Self { table, hosts, engines, plain, running }
     }
 
-    /// Adds a target that nothing listens at, in place of the one at `at`.
+    /// Gives the target at `index` an address that nothing listens on.
     ///
-    /// The port is one that the system never gives out: one that was just free may be taken by
-    /// another test's stand-in a moment later.
-    pub(crate) fn unplug(&self, at: usize) {
-        let free: SocketAddr = ([127, 0, 0, 1], 1).into();
+    /// The system never assigns this port. A port that was just free could be taken by another
+    /// test's stand-in in the meantime.
+    pub(crate) fn disconnect(&self, index: usize) {
+        let unused: SocketAddr = ([127, 0, 0, 1], 1).into();
         let mut targets = self.hosts.state.list();
-        targets[at].address = free;
+        targets[index].address = unused;
         self.hosts.state.set(targets);
     }
 
-    /// Starts a pipeline.
-    pub(crate) fn front(&self) -> Front {
-        self.front_with(&default_options())
+    /// Starts a daemon with default options.
+    pub(crate) fn start_daemon(&self) -> TestDaemon {
+        self.start_daemon_with(&default_options())
     }
 
-    /// Starts a pipeline with these bounds.
-    pub(crate) fn front_with(&self, options: &ServerOptions) -> Front {
+    /// Starts a daemon with these options.
+    pub(crate) fn start_daemon_with(&self, options: &ServerOptions) -> TestDaemon {
         let table = self.table.another_path();
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let config = Arc::new(ConfigView::default());
@@ -228,7 +229,7 @@
         let lifecycle: Arc<Lifecycle> = Arc::default();
         let watch: Arc<CallerWatch> = Arc::default();
         let explainer: Arc<Explainer> = Arc::default();
-        let orders: Arc<NoOrders> = Arc::default();
+        let orders: Arc<RecordedOrders> = Arc::default();
         let parts = Parts {
             config,
             hosts,
@@ -251,10 +252,10 @@
         };
         let handler: Arc<dyn Handler> = Arc::new(Gateway::new(parts, gateway));
         let listener = TcpListener::bind(loopback()).expect("a port is free");
-        let address = listener.local_addr().expect("it is bound");
-        let (options, served) = (options.clone(), Arc::clone(&lifecycle));
-        thread::spawn(move || server::serve(&listener, &options, &handler, &served));
-        Front { address, table, lifecycle, pools, watch, explainer, orders }
+        let address = listener.local_addr().expect("the listener is bound");
+        let (options, server_lifecycle) = (options.clone(), Arc::clone(&lifecycle));
+        thread::spawn(move || server::serve(&listener, &options, &handler, &server_lifecycle));
+        TestDaemon { address, table, lifecycle, pools, watch, explainer, orders }
     }
 
     /// Returns how many requests the engines have started.
@@ -263,13 +264,13 @@
     }
 }
 
-impl Drop for Outside {
+impl Drop for TestPlatform {
     fn drop(&mut self) {
         self.running.iter().for_each(Running::stop);
     }
 }
 
-impl Drop for Front {
+impl Drop for TestDaemon {
     fn drop(&mut self) {
         self.lifecycle.drain();
         self.lifecycle.close();
@@ -289,7 +290,7 @@
     }
 }
 
-pub(crate) fn load(engine: &Arc<Engine>, service: &str) {
+pub(crate) fn load_model(engine: &Arc<Engine>, service: &str) {
     let service = ServiceName::from(service);
     let order = LoadOrder {
         service: service.clone(),
@@ -328,18 +329,18 @@
     ReplicaRow { last_fence: 1, slots: vec![slot("e0"), slot("e1")] }
 }
 
-/// Sends bytes on a connection of their own and returns all that comes back.
+/// Sends bytes on a new connection and returns everything that is received.
 pub(crate) fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("the server listens");
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the span is not zero");
-    // The server may refuse and close before it has read everything.
+    let mut stream = TcpStream::connect(address).expect("the daemon is listening");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the timeout is not zero");
+    // The server may refuse the request and close the connection before it has read everything.
     let _ = stream.write_all(bytes);
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Makes a request that ends its connection.
+/// Returns a request that closes its connection.
 pub(crate) fn request(method_path: &str, headers: &[&str], body: &str) -> Vec<u8> {
     let mut text = format!(
         "{method_path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\nauthorization: Bearer {KEY}\r\n\
@@ -355,25 +356,25 @@
     text.into_bytes()
 }
 
-/// Makes a completion request.
+/// Returns a completion request.
 pub(crate) fn completion(model: &str, stream: bool, tokens: u32) -> Vec<u8> {
     let body = format!(r#"{{"model":"{model}","stream":{stream},"max_tokens":{tokens}}}"#);
     request("POST /v1/chat/completions", &[], &body)
 }
 
-/// Returns the status of an answer.
-pub(crate) fn status(answer: &str) -> u16 {
-    let code = answer.split(' ').nth(1).and_then(|code| code.parse().ok());
+/// Returns the status of a response.
+pub(crate) fn status(response: &str) -> u16 {
+    let code = response.split(' ').nth(1).and_then(|code| code.parse().ok());
     code.unwrap_or(0)
 }
 
-/// Returns the tokens of a streamed answer in order.
-pub(crate) fn tokens(answer: &str) -> Vec<String> {
-    let parts = answer.split("\"content\":\"").skip(1);
+/// Returns the tokens of a streamed response, in order.
+pub(crate) fn tokens(response: &str) -> Vec<String> {
+    let parts = response.split("\"content\":\"").skip(1);
     parts.filter_map(|p| p.split('"').next()).map(|t| t.trim().to_owned()).collect()
 }
 
-/// Returns the tokens that a stream of `n` has.
+/// Returns the expected tokens of a stream with `n` tokens.
 pub(crate) fn all_tokens(n: u32) -> Vec<String> {
     (0..n).map(|i| format!("t{i}")).collect()
 }
