--- a/crates/tansyknot-config/src/document.rs
+++ b/crates/tansyknot-config/src/document.rs
@@ -1,4 +1,4 @@
-//! Documents of operator objects: reading, checking and showing what is wrong.
+//! Reading and validation of documents of objects.
 
 use std::collections::BTreeSet;
 
@@ -10,27 +10,27 @@
     yaml,
 };
 
-/// Names may have this many bytes.
+/// Maximum length of an object's name.
 const MAX_NAME_BYTES: usize = 120;
 
-/// A contradiction in an object that parses.
+/// A semantic error in an object that parses.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum ObjectError {
-    /// A name is empty, too long or has characters that paths and keys can't have.
+    /// A name is empty, too long or has characters that are not allowed in paths and keys.
     #[error("{key:?} is not a name")]
     #[diagnostic(help("use 1 to 120 letters, digits, '-', '_' or '.'"))]
     Name {
         /// The object.
         key: String,
     },
-    /// The least number of replicas is above the greatest.
+    /// The minimum number of replicas is above the maximum.
     #[error("{key}: replicas.min is above replicas.max")]
     #[diagnostic(help("raise replicas.max or lower replicas.min"))]
     ReplicaBounds {
         /// The object.
         key: String,
     },
-    /// The least retention is above the greatest.
+    /// The minimum retention is above the maximum.
     #[error("{key}: retention.at_least is above retention.at_most")]
     #[diagnostic(help("raise retention.at_most or lower retention.at_least"))]
     RetentionBounds {
@@ -48,49 +48,49 @@
     },
     /// The hash of a key is malformed.
     #[error("{key}: key_sha256 is not 64 hexadecimal digits")]
-    #[diagnostic(help("`tansyknot key` makes a key and its hash"))]
+    #[diagnostic(help("`tansyknot key` generates a key and its hash"))]
     KeyHash {
         /// The object.
         key: String,
     },
-    /// The document names an object twice.
-    #[error("{key} is there twice")]
-    #[diagnostic(help("keep one of the two"))]
-    Twice {
+    /// The document defines an object twice.
+    #[error("{key} is defined twice")]
+    #[diagnostic(help("remove one of the two definitions"))]
+    Duplicate {
         /// The object.
         key: String,
     },
 }
 
-/// Reads the objects of a YAML document with one object a part.
+/// Reads the objects of a multi-document YAML file with one object per YAML document.
 ///
 /// # Errors
 ///
-/// Fails with a report that shows the line and a hint.
+/// Returns a report with the line of the error and a hint.
 pub fn read(text: &str, file: &str) -> miette::Result<Vec<Object>> {
     let objects: Vec<Object> = yaml::read_many(text, file)?;
     check(&objects)?;
     Ok(objects)
 }
 
-/// Checks objects for contradictions.
+/// Validates objects, each by itself and against duplicates.
 ///
 /// # Errors
 ///
-/// Fails with the first contradiction.
+/// Returns the first error found.
 pub fn check(objects: &[Object]) -> Result<(), ObjectError> {
-    let mut seen = BTreeSet::new();
+    let mut keys = BTreeSet::new();
     for object in objects {
         let key = object.key();
-        check_one(object, &key)?;
-        if !seen.insert(key.clone()) {
-            return Err(ObjectError::Twice { key });
+        check_object(object, &key)?;
+        if !keys.insert(key.clone()) {
+            return Err(ObjectError::Duplicate { key });
         }
     }
     Ok(())
 }
 
-fn check_one(object: &Object, key: &str) -> Result<(), ObjectError> {
+fn check_object(object: &Object, key: &str) -> Result<(), ObjectError> {
     check_name(key)?;
     let zero = |field| Err(ObjectError::Zero { key: key.to_owned(), field });
     match object {
@@ -110,7 +110,7 @@
         }
         Object::Rule(r) if r.requests.deadline.duration().is_zero() => zero("requests.deadline"),
         Object::Rule(_) => Ok(()),
-        Object::Caller(c) if !is_sha256(&c.key_sha256) => {
+        Object::Caller(c) if !is_sha256_hex(&c.key_sha256) => {
             Err(ObjectError::KeyHash { key: key.to_owned() })
         }
         Object::Caller(c) if c.limits.in_flight == 0 => zero("limits.in_flight"),
@@ -123,10 +123,10 @@
 fn check_name(key: &str) -> Result<(), ObjectError> {
     let name = key.split_once('/').map_or(key, |(_, name)| name);
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let good = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed);
-    if good { Ok(()) } else { Err(ObjectError::Name { key: key.to_owned() }) }
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(allowed);
+    if is_valid { Ok(()) } else { Err(ObjectError::Name { key: key.to_owned() }) }
 }
 
-fn is_sha256(text: &str) -> bool {
+fn is_sha256_hex(text: &str) -> bool {
     text.len() == 64 && text.chars().all(|c| c.is_ascii_hexdigit())
 }
--- a/crates/tansyknot-config/src/fleet.rs
+++ b/crates/tansyknot-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon that serves a fleet of shared targets.
+//! The settings file of a daemon that serves a fleet of shared targets.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,48 +9,49 @@
 
 use crate::{
     settings::LogLevel,
-    unit::{Amount, Period, Span},
+    unit::{DurationSetting, NonNegative, Period},
     yaml,
 };
 
-/// Settings of a daemon that serves a fleet.
+/// The settings of a daemon that serves a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// The name of the daemon; no other may have it.
+    /// The name of the daemon, unique among all daemons.
     pub name: DaemonName,
     /// The availability zone of its host.
     pub availability_zone: ZoneName,
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     pub listen: FleetListen,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The host's link, in Mbit/s. Daemons on slow links leave the planning to others.
+    /// The bandwidth of the host's link in Mbit/s. A daemon on a slow link leaves the
+    /// planning to others.
     #[serde(default)]
     pub link_mbps: Option<f64>,
     /// Bounds that the platform sets.
     pub bounds: FleetBounds,
-    /// Bounds on what callers send.
+    /// Limits on the requests of callers.
     #[serde(default)]
     pub limits: crate::settings::Limits,
-    /// Logs.
+    /// Settings of the log.
     #[serde(default)]
     pub telemetry: FleetTelemetry,
 }
 
-/// Listeners.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetListen {
-    /// HTTP for callers.
+    /// The HTTP address for callers.
     pub callers: SocketAddr,
-    /// Says whether the daemon takes callers.
+    /// The HTTP address of the readiness check, which reports whether the daemon accepts callers.
     pub ready: SocketAddr,
-    /// The host's address.
+    /// The IP address of the host.
     pub host: IpAddr,
-    /// UDP for the other daemons, on the host's address.
+    /// The UDP port for messages between daemons, on the host's address.
     pub peers_port: u16,
-    /// The metrics page, on the host's address; none if it is left out.
+    /// The port of the metrics page, on the host's address. Without it, no page is served.
     #[serde(default)]
     pub metrics_port: Option<u16>,
 }
@@ -59,61 +60,63 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetBounds {
-    /// Orders of two holders to one target lie this far apart.
-    pub order_turn: Span,
-    /// Second sends for each first one.
+    /// The minimum interval between orders of two lease holders to one target.
+    pub order_turn: DurationSetting,
+    /// Retries allowed per request, as a ratio.
     pub retry_ratio: f64,
-    /// Second sends beyond that in one window, over all daemons.
+    /// Retries that all daemons together may send beyond that ratio in one window.
     pub retry_slack: f64,
-    /// The window in which sends are counted.
-    pub retry_window: Span,
-    /// A target that leaves must get nothing new this long after the list says so.
-    pub leave_within: Span,
-    /// A configuration must be in force this long after it was accepted.
-    pub config_within: Span,
-    /// How often a target renews its entry in the list.
-    pub heartbeat: Span,
-    /// A host that was disturbed keeps the bounds again this long after that.
-    pub recover_within: Span,
-    /// Time from the signal to stop until the process is killed.
-    pub stop_grace: Span,
-    /// A key that was taken away must be good nowhere after this time.
+    /// The window in which requests and retries are counted.
+    pub retry_window: DurationSetting,
+    /// The time after which a target that is leaving gets no new requests, counted from the
+    /// update of the list.
+    pub leave_within: DurationSetting,
+    /// The time within which an accepted configuration must be in force.
+    pub config_within: DurationSetting,
+    /// The interval at which a target renews its entry in the list.
+    pub heartbeat: DurationSetting,
+    /// The time after a disturbance of a host within which the bounds hold again.
+    pub recover_within: DurationSetting,
+    /// The time from the stop signal until the process is killed.
+    pub stop_grace: DurationSetting,
+    /// The time after which every daemon must reject a revoked key.
     #[serde(default)]
     pub revoke_within: Option<Period>,
-    /// Whether that holds for daemons too that can't know of it: they refuse keys then.
+    /// Whether that bound also applies to daemons that can't receive revocations. Such daemons then
+    /// reject keys.
     #[serde(default)]
     pub revoke_fail_closed: bool,
     /// The window in which teams' quotas are counted.
     #[serde(default = "quota_window")]
     pub quota_window: Period,
-    /// What all daemons together may let through beyond a quota, as a share of it.
+    /// What all daemons together may admit beyond a quota, as a fraction of the quota.
     #[serde(default = "quota_overshoot")]
-    pub quota_overshoot: Amount,
-    /// What they may let through beyond that in one window, in the quota's units.
+    pub quota_overshoot: NonNegative,
+    /// What all daemons together may admit beyond that in one window, in the quota's units.
     #[serde(default)]
-    pub quota_slack: Amount,
+    pub quota_slack: NonNegative,
 }
 
 fn quota_window() -> Period {
     Period::from_millis(8000)
 }
 
-fn quota_overshoot() -> Amount {
-    Amount::from_permille(100)
+fn quota_overshoot() -> NonNegative {
+    NonNegative::from_permille(100)
 }
 
-/// Bounds that contradict each other.
+/// The error of settings that fail closed on revocation without a time bound for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("bounds.revoke_fail_closed needs bounds.revoke_within")]
-pub struct NoRevocationBound;
+pub struct MissingRevocationBound;
 
-/// Logs of a daemon that serves a fleet.
+/// The log settings of a daemon that serves a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetTelemetry {
-    /// The least serious level that is written.
+    /// The minimum severity that is logged.
     pub log_level: LogLevel,
-    /// Lines a second; further ones are counted and left out.
+    /// The maximum number of log lines per second. Further lines are counted and dropped.
     pub log_lines_per_s: u32,
 }
 
@@ -123,15 +126,15 @@
     }
 }
 
-/// Reads a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Fails with a report that shows the line and a hint.
+/// Returns a report with the line of the error and a hint.
 pub fn read(text: &str, file: &str) -> miette::Result<FleetSettings> {
     let settings: FleetSettings = yaml::read_one(text, file)?;
     if settings.bounds.revoke_fail_closed && settings.bounds.revoke_within.is_none() {
-        return Err(NoRevocationBound.into());
+        return Err(MissingRevocationBound.into());
     }
     Ok(settings)
 }
--- a/crates/tansyknot-config/src/lib.rs
+++ b/crates/tansyknot-config/src/lib.rs
@@ -1,4 +1,5 @@
-//! Settings files, operator objects and the documents that operators apply.
+//! Settings files of daemons, the objects of the configuration, and the YAML documents that
+//! operators apply.
 
 pub mod document;
 pub mod fleet;
--- a/crates/tansyknot-config/src/object.rs
+++ b/crates/tansyknot-config/src/object.rs
@@ -1,4 +1,4 @@
-//! The objects that operators write: services, adapters, rules and callers.
+//! The objects of the configuration: services, adapters, rules and callers.
 
 use serde::{Deserialize, Serialize};
 use tansyknot_core::{
@@ -6,28 +6,28 @@
     name::{AdapterName, CallerName, RuleName, ServiceName},
 };
 
-use crate::unit::{Bytes, Span};
+use crate::unit::{Bytes, DurationSetting};
 
 /// A service that callers name in their requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name that callers use.
+    /// The name that callers use in their requests.
     pub name: ServiceName,
-    /// Labels that rules and callers select by.
+    /// Labels that the selectors of rules and callers match.
     #[serde(default)]
     pub labels: Labels,
-    /// What answers its requests.
+    /// What serves its requests.
     pub backend: Backend,
 }
 
-/// What answers the requests of a service.
+/// What serves the requests of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Backend {
     /// A model that engines load and remove.
     Model(Model),
-    /// A plain HTTP service that is always there.
+    /// A plain HTTP service that needs no loading.
     Plain(Plain),
 }
 
@@ -35,17 +35,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The checkpoint, as the weight store names it.
+    /// The name of the checkpoint in the weight store.
     pub checkpoint: String,
-    /// Memory that the model takes on an engine.
+    /// Memory that the model uses on an engine.
     pub memory: Bytes,
-    /// Memory kept for adapters beside each replica.
+    /// Memory reserved for adapters beside each replica.
     #[serde(default)]
     pub adapter_memory: Bytes,
 }
 
 impl Model {
-    /// Returns the bytes that one replica reserves: the model and its pool of adapters.
+    /// Returns the bytes that one replica reserves for the model and its adapters.
     pub fn reserved_bytes(&self) -> u64 {
         self.memory.get().saturating_add(self.adapter_memory.get())
     }
@@ -60,43 +60,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// The name that callers use as a model.
+    /// The name that callers give as the model.
     pub name: AdapterName,
     /// The service whose model it adapts.
     pub service: ServiceName,
 }
 
-/// What the operators decided for the services that a selector chooses.
+/// A policy for the services that a selector matches.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// The name of the rule.
     pub name: RuleName,
-    /// The services that it is for.
+    /// The services that the rule applies to.
     pub services: Selector,
     /// The targets that may serve them.
     pub targets: Selector,
-    /// Among rules that match a service, the highest rank is in force; then the first name.
+    /// Of the rules that match a service, the one with the highest rank is in force; of equal
+    /// ranks, the one with the first name.
     #[serde(default)]
     pub rank: i32,
-    /// How many replicas there may be.
+    /// Bounds on the number of replicas.
     #[serde(default)]
     pub replicas: Replicas,
-    /// How long an unused replica stays.
+    /// How long an unused replica stays loaded.
     #[serde(default)]
     pub retention: Retention,
-    /// How requests are treated.
+    /// Settings for the requests of a service.
     #[serde(default)]
     pub requests: Requests,
 }
 
-/// How many replicas of a model there may be.
+/// Bounds on the number of replicas of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Replicas {
-    /// No more than this, at any instant.
+    /// The maximum number of replicas at any instant.
     pub max: u32,
-    /// Kept loaded also without requests.
+    /// The number of replicas that stay loaded without requests.
     pub min: u32,
 }
 
@@ -106,83 +107,87 @@
     }
 }
 
-/// What weighs more when the two measures pull apart.
+/// Which goal has priority where cold starts and idle accelerators conflict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Weight {
-    /// Short cold-start tails.
+    /// Short cold starts in the tail of the latency distribution.
     #[default]
     Cold,
     /// Few idle accelerator hours.
     Idle,
 }
 
-/// How long an unused replica stays.
+/// How long an unused replica stays loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retention {
-    /// What weighs more.
+    /// Which goal has priority.
     pub weight: Weight,
-    /// An unused replica stays at least this long.
-    pub at_least: Span,
-    /// An unused replica stays at most this long.
-    pub at_most: Span,
+    /// The minimum time that an unused replica stays loaded.
+    pub at_least: DurationSetting,
+    /// The maximum time that an unused replica stays loaded.
+    pub at_most: DurationSetting,
 }
 
 impl Default for Retention {
     fn default() -> Self {
-        Self { weight: Weight::Cold, at_least: Span::from_secs(10), at_most: Span::from_secs(3600) }
+        Self {
+            weight: Weight::Cold,
+            at_least: DurationSetting::from_secs(10),
+            at_most: DurationSetting::from_secs(3600),
+        }
     }
 }
 
-/// The class of a request; a desk request goes before a batch request.
+/// The priority class of a request; desk requests are served before batch requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Someone waits for the answer.
+    /// An interactive request: a person waits for the response.
     #[default]
     Desk,
-    /// The answer may come much later.
+    /// A request whose response may be delayed.
     Batch,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatability {
     /// The request is idempotent.
     #[default]
     Repeatable,
-    /// The request runs at most once.
+    /// The request must be executed at most once.
     AtMostOnce,
 }
 
-/// Whether requests that run at most once must carry an `Idempotency-Key`.
+/// Whether at-most-once requests must have an `Idempotency-Key` header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyDemand {
-    /// A request without a key is taken as a request of its own.
+    /// A request without a key is a separate request.
     #[default]
     Optional,
-    /// A request without a key is refused.
+    /// A request without a key is rejected.
     Required,
 }
 
-/// How requests are treated.
+/// Settings for the requests of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
-    /// The class.
+    /// The priority class.
     pub class: Class,
-    /// The deadline of a request that names none.
-    pub deadline: Span,
-    /// Requests in flight that one replica or plain target takes from one daemon.
+    /// The deadline of a request that has none.
+    pub deadline: DurationSetting,
+    /// The maximum of requests in flight from one daemon to one replica or plain target.
     pub in_flight_per_replica: u32,
-    /// Whether a request may run again.
+    /// Whether a request may be executed more than once.
     pub repeatability: Repeatability,
-    /// Whether a key is required.
+    /// Whether an idempotency key is required.
     pub idempotency_key: KeyDemand,
 }
 
@@ -190,7 +195,7 @@
     fn default() -> Self {
         Self {
             class: Class::Desk,
-            deadline: Span::from_secs(60),
+            deadline: DurationSetting::from_secs(60),
             in_flight_per_replica: 64,
             repeatability: Repeatability::Repeatable,
             idempotency_key: KeyDemand::Optional,
@@ -204,25 +209,25 @@
 pub struct Caller {
     /// The name of the caller.
     pub name: CallerName,
-    /// The SHA-256 of its key, as 64 hexadecimal digits.
+    /// The SHA-256 hash of the caller's key, as 64 hexadecimal digits.
     pub key_sha256: String,
-    /// The services that it may use.
+    /// The services that the caller may use.
     #[serde(default)]
     pub services: Selector,
-    /// Its limits at each daemon.
+    /// The limits that each daemon enforces.
     #[serde(default)]
     pub limits: CallerLimits,
 }
 
-/// Limits of a caller at each daemon.
+/// Limits of a caller, enforced by each daemon separately.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerLimits {
-    /// Requests in flight at once.
+    /// The maximum number of requests in flight.
     pub in_flight: u32,
-    /// Requests a second, averaged over the burst.
+    /// The sustained rate in requests per second.
     pub rate_per_s: u32,
-    /// Requests that may come at once after a pause.
+    /// The number of requests that may arrive at once after an idle period.
     pub burst: u32,
 }
 
@@ -232,7 +237,7 @@
     }
 }
 
-/// Any object.
+/// An object of any kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Object {
@@ -246,7 +251,7 @@
     Caller(Caller),
 }
 
-/// The kind and name of an object, as `service/permit-assistant`.
+/// The kind and name of an object, such as `service/permit-assistant`.
 pub type ObjectKey = String;
 
 impl Object {
--- a/crates/tansyknot-config/src/settings.rs
+++ b/crates/tansyknot-config/src/settings.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 use crate::{
-    unit::{Bytes, Span},
+    unit::{Bytes, DurationSetting},
     yaml,
 };
 
@@ -16,82 +16,83 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of the daemon, of its own among all daemons.
+    /// The name of the daemon, unique among all daemons.
     pub name: DaemonName,
-    /// The availability zone that its host stands in.
+    /// The availability zone of its host.
     pub availability_zone: ZoneName,
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     pub listen: Listen,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub platform: Platform,
-    /// Bounds on what callers may send.
+    /// Limits on connections and requests of callers.
     #[serde(default)]
     pub limits: Limits,
-    /// How a planned stop goes.
+    /// Settings of a graceful shutdown.
     #[serde(default)]
     pub drain: Drain,
-    /// How often state is refreshed.
+    /// The intervals at which state is refreshed.
     #[serde(default)]
     pub refresh: Refresh,
-    /// Where logs, metrics and spans go.
+    /// Settings of logs, metrics and spans.
     #[serde(default)]
     pub telemetry: Telemetry,
 }
 
-/// Where a daemon listens.
+/// The addresses that a daemon listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// HTTP for callers.
+    /// The HTTP address for callers.
     pub callers: SocketAddr,
-    /// HTTP for operators; keep it off public networks.
+    /// The HTTP address for operators, which must not be reachable from public networks.
     pub operators: SocketAddr,
-    /// UDP for peers.
+    /// The UDP address for messages between daemons.
     pub peers: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The table service.
+    /// The address of the table service.
     pub table: SocketAddr,
-    /// The list of hosts.
+    /// The address of the service that lists the hosts.
     pub hosts: SocketAddr,
-    /// A query for the list of hosts, such as `region=dakar`; a daemon then knows only those.
+    /// A filter for the list of hosts, such as `region=dakar`. The daemon uses matching hosts only.
     #[serde(default)]
     pub hosts_query: String,
-    /// How long a call to either may take.
+    /// The timeout of a call to the table service or the list of hosts.
     #[serde(default = "Platform::default_timeout")]
-    pub timeout: Span,
+    pub timeout: DurationSetting,
 }
 
 impl Platform {
-    fn default_timeout() -> Span {
-        Span::from_secs(2)
+    fn default_timeout() -> DurationSetting {
+        DurationSetting::from_secs(2)
     }
 }
 
-/// Bounds on what callers may send.
+/// Limits on connections and requests of callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The head of a request.
+    /// The maximum size of a request's head.
     pub head: Bytes,
-    /// The body of a request.
+    /// The maximum size of a request's body.
     pub body: Bytes,
-    /// Connections at once; each takes a thread.
+    /// The maximum number of connections. Each one uses a thread.
     pub connections: u32,
-    /// How long a head or body may take to arrive.
-    pub receive_timeout: Span,
-    /// How long a connection may be idle between requests.
-    pub idle_timeout: Span,
-    /// How long a write to a caller may block.
-    pub write_timeout: Span,
-    /// Requests that may wait for one service.
+    /// The timeout for receiving a head or a body.
+    pub receive_timeout: DurationSetting,
+    /// The timeout of an idle connection between requests.
+    pub idle_timeout: DurationSetting,
+    /// The timeout of a write to a caller.
+    pub write_timeout: DurationSetting,
+    /// The maximum number of requests that wait for one service.
     pub waiting_per_service: u32,
-    /// How long a request may take if neither it nor a rule says; also the longest deadline.
-    pub deadline_max: Span,
+    /// The maximum deadline, and the default for requests without a deadline of their own or of a
+    /// rule.
+    pub deadline_max: DurationSetting,
 }
 
 impl Default for Limits {
@@ -100,65 +101,66 @@
             head: Bytes::new(16 << 10),
             body: Bytes::new(4 << 20),
             connections: 4096,
-            receive_timeout: Span::from_secs(10),
-            idle_timeout: Span::from_secs(60),
-            write_timeout: Span::from_secs(10),
+            receive_timeout: DurationSetting::from_secs(10),
+            idle_timeout: DurationSetting::from_secs(60),
+            write_timeout: DurationSetting::from_secs(10),
             waiting_per_service: 512,
-            deadline_max: Span::from_secs(3600),
+            deadline_max: DurationSetting::from_secs(3600),
         }
     }
 }
 
-/// How a planned stop goes.
+/// Settings of a graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// Requests in flight get this long before the process ends all the same.
-    pub timeout: Span,
-    /// New requests are still refused politely for at least this long, for the balancer.
-    pub linger: Span,
+    /// The time that requests in flight have to finish before the process exits.
+    pub timeout: DurationSetting,
+    /// The minimum time for which new requests are answered with a refusal, so that the load
+    /// balancer can take the daemon out of rotation.
+    pub linger: DurationSetting,
 }
 
 impl Default for Drain {
     fn default() -> Self {
-        Self { timeout: Span::from_secs(300), linger: Span::from_millis(500) }
+        Self { timeout: DurationSetting::from_secs(300), linger: DurationSetting::from_millis(500) }
     }
 }
 
-/// How often state is refreshed.
+/// The intervals at which state is refreshed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Refresh {
-    /// The version of the configuration.
-    pub config: Span,
-    /// The list of hosts.
-    pub hosts: Span,
-    /// The control loop for replicas.
-    pub replicas: Span,
+    /// The interval of checks for a new version of the configuration.
+    pub config: DurationSetting,
+    /// The interval of reads of the list of hosts.
+    pub hosts: DurationSetting,
+    /// The interval of the control loop for replicas.
+    pub replicas: DurationSetting,
 }
 
 impl Default for Refresh {
     fn default() -> Self {
         Self {
-            config: Span::from_secs(1),
-            hosts: Span::from_secs(1),
-            replicas: Span::from_millis(50),
+            config: DurationSetting::from_secs(1),
+            hosts: DurationSetting::from_secs(1),
+            replicas: DurationSetting::from_millis(50),
         }
     }
 }
 
-/// The layout of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON document a line.
+    /// One JSON document per line.
     #[default]
     Json,
-    /// For people.
+    /// Text for people.
     Text,
 }
 
-/// The least serious level that is logged.
+/// The minimum severity that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
@@ -166,69 +168,70 @@
     Error,
     /// Warnings and errors.
     Warn,
-    /// What operators want to know.
+    /// Events of interest to operators, warnings and errors.
     #[default]
     Info,
-    /// A line for each request.
+    /// All of the above and one line per request.
     Debug,
 }
 
-/// Where logs, metrics and spans go.
+/// Settings of logs, metrics and spans.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Telemetry {
-    /// The layout of log lines on standard error.
+    /// The format of log lines on standard error.
     pub log_format: LogFormat,
-    /// The least serious level that is logged.
+    /// The minimum severity that is logged.
     pub log_level: LogLevel,
-    /// A StatsD collector for metrics, by UDP.
+    /// The UDP address of a StatsD collector for metrics.
     pub statsd: Option<SocketAddr>,
-    /// Whether spans are written, a JSON line each, to standard output.
+    /// Whether spans are written to standard output, as one JSON line each.
     pub spans: bool,
 }
 
-/// A contradiction in settings that parse.
+/// A semantic error in settings that parse.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum SettingsError {
     /// Two listeners share an address.
     #[error("listen.{a} and listen.{b} are the same address")]
     #[diagnostic(help("give each listener a port of its own"))]
     SameAddress {
-        /// One listener.
+        /// The name of one listener.
         a: &'static str,
-        /// The other.
+        /// The name of the other listener.
         b: &'static str,
     },
     /// A bound that must be positive is zero.
     #[error("{field} is zero")]
-    #[diagnostic(help("leave it out for the default, or give a positive value"))]
+    #[diagnostic(help("omit it for the default, or give a positive value"))]
     Zero {
         /// The field.
         field: &'static str,
     },
-    /// The configuration would not be in force within 4 s.
+    /// The refresh interval is too long for a configuration to be in force within 4 s.
     #[error("refresh.config is above 2s")]
     #[diagnostic(help("an accepted configuration must be in force everywhere within 4 s"))]
-    RefreshTooSlow,
-    /// A leaving target would receive work for too long.
+    ConfigRefreshTooSlow,
+    /// The refresh interval is too long for a leaving target to be excluded from new requests in
+    /// time.
     #[error("refresh.hosts is above 2s")]
-    #[diagnostic(help("a leaving target must get no new work after a few seconds"))]
-    HostsTooSlow,
+    #[diagnostic(help("a leaving target must get no new requests after a few seconds"))]
+    HostsRefreshTooSlow,
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Fails with a report that shows the line and a hint.
+/// Returns a report with the line of the error and a hint.
 pub fn read(text: &str, file: &str) -> miette::Result<Settings> {
     let settings: Settings = yaml::read_one(text, file)?;
     check(&settings)?;
     Ok(settings)
 }
 
-/// The slowest refresh that keeps the bounds of docs/PROMISES.md.
-const SLOWEST_REFRESH: Span = Span::from_secs(2);
+/// Maximum refresh interval at which the bounds in docs/PROMISES.md hold.
+const MAX_REFRESH_INTERVAL: DurationSetting = DurationSetting::from_secs(2);
 
 fn check(s: &Settings) -> Result<(), SettingsError> {
     let listen = &s.listen;
@@ -249,11 +252,11 @@
     if s.refresh.replicas.duration().is_zero() {
         return zero("refresh.replicas");
     }
-    if s.refresh.config > SLOWEST_REFRESH {
-        return Err(SettingsError::RefreshTooSlow);
+    if s.refresh.config > MAX_REFRESH_INTERVAL {
+        return Err(SettingsError::ConfigRefreshTooSlow);
     }
-    if s.refresh.hosts > SLOWEST_REFRESH {
-        return Err(SettingsError::HostsTooSlow);
+    if s.refresh.hosts > MAX_REFRESH_INTERVAL {
+        return Err(SettingsError::HostsRefreshTooSlow);
     }
     Ok(())
 }
--- a/crates/tansyknot-config/src/store.rs
+++ b/crates/tansyknot-config/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration that a daemon has in force: objects with versions, and look-ups.
+//! The configuration that is in force at a daemon: versioned objects and lookups.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 
 use crate::object::{Adapter, Caller, Object, ObjectKey, Rule, Service};
 
-/// The version of the whole configuration; it only rises.
+/// The version of the configuration. It only increases.
 pub type ConfigVersion = u64;
 
-/// An object and the version that last changed it; `None` once deleted.
+/// An object and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// The version that last changed the object.
@@ -23,13 +23,13 @@
     pub object: Object,
 }
 
-/// One change of one object.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Op {
-    /// The object is new or replaced.
+    /// Adds or replaces an object.
     Put(Object),
-    /// The object is removed.
+    /// Removes an object.
     Delete(ObjectKey),
 }
 
@@ -43,14 +43,14 @@
     }
 }
 
-/// A caller's request named one of these.
+/// The result of resolving the name in a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Resolved<'a> {
+pub struct ResolvedService<'a> {
     /// The service.
     pub service: &'a Service,
-    /// The rule in force for it, if any matches.
+    /// The rule in force for the service, if any matches.
     pub rule: Option<&'a Rule>,
-    /// The adapter, if the name was an adapter's.
+    /// The adapter, if the name is the name of an adapter.
     pub adapter: Option<AdapterName>,
 }
 
@@ -65,33 +65,34 @@
     callers: BTreeMap<String, (ConfigVersion, Caller)>,
 }
 
-/// Returns the share of one object in the digest of the configuration.
+/// Returns the hash of one object and its version, a term of the configuration's digest.
 pub fn object_digest(key: &str, version: ConfigVersion) -> u64 {
     xxh3::xxh3_64_with_seed(key.as_bytes(), version)
 }
 
-/// Returns the hash under which the holder of `key` is known.
+/// Returns the hash that identifies the caller with `key`.
 pub fn key_hash(key: &str) -> String {
     KeyDigest::of(key).hex()
 }
 
 impl Store {
-    /// Returns the version in force; zero before the first.
+    /// Returns the version in force, or zero if there is none yet.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Returns the digest over every object and its version.
+    /// Returns the digest of all objects and their versions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Raises the version. A lower one is ignored.
+    /// Raises the version in force. A lower version is ignored.
     pub fn raise_version(&mut self, version: ConfigVersion) {
         self.version = self.version.max(version);
     }
 
-    /// Puts or deletes one object as of `version`, unless a later change is known.
+    /// Applies a change made in `version`, unless the object has a change of the same or a later
+    /// version.
     pub fn apply(&mut self, op: &Op, version: ConfigVersion) {
         let key = op.key();
         let current = self.object_version(&key);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Returns the version that last changed an object that is there.
+    /// Returns the version that last changed an object, or `None` if the object does not exist.
     pub fn object_version(&self, key: &str) -> Option<ConfigVersion> {
         let (kind, name) = key.split_once('/')?;
         match kind {
@@ -122,40 +123,41 @@
         }
     }
 
-    /// Finds what a caller's `model` or service name stands for.
-    pub fn resolve(&self, name: &str) -> Option<Resolved<'_>> {
+    /// Resolves the name of a service or an adapter in a caller's request.
+    pub fn resolve(&self, name: &str) -> Option<ResolvedService<'_>> {
         if let Some((_, service)) = self.services.get(&ServiceName::from(name)) {
-            return Some(Resolved { service, rule: self.rule_for(service), adapter: None });
+            return Some(ResolvedService { service, rule: self.rule_for(service), adapter: None });
         }
         let adapter = AdapterName::from(name);
         let (_, base) = self.adapters.get(&adapter)?;
         let (_, service) = self.services.get(base)?;
-        Some(Resolved { service, rule: self.rule_for(service), adapter: Some(adapter) })
+        Some(ResolvedService { service, rule: self.rule_for(service), adapter: Some(adapter) })
     }
 
-    /// Returns the rule in force for `service`: the highest rank, then the first name.
+    /// Returns the rule in force for `service`: of the matching rules, the one with the highest
+    /// rank, then the first name.
     pub fn rule_for(&self, service: &Service) -> Option<&Rule> {
         let rules = self.rules.values().map(|(_, rule)| rule);
         let matching = rules.filter(|rule| rule.services.matches(&service.labels));
         matching.min_by(|a, b| b.rank.cmp(&a.rank).then_with(|| a.name.cmp(&b.name)))
     }
 
-    /// Returns the caller whose key has this hash.
+    /// Returns the caller whose key has the hash `key_sha256`.
     pub fn caller(&self, key_sha256: &str) -> Option<&Caller> {
         self.callers.get(key_sha256).map(|(_, caller)| caller)
     }
 
-    /// Returns every service in the order of names.
+    /// Returns all services in the order of their names.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values().map(|(_, service)| service)
     }
 
-    /// Returns every adapter and its service in the order of names.
+    /// Returns all adapters with their services, in the order of adapter names.
     pub fn adapters(&self) -> impl Iterator<Item = (&AdapterName, &ServiceName)> {
         self.adapters.iter().map(|(name, (_, service))| (name, service))
     }
 
-    /// Returns every object with its version, in the order of kinds and names.
+    /// Returns all objects with their versions, in the order of kinds and names.
     pub fn objects(&self) -> Vec<Stored> {
         let stored = |version: &ConfigVersion, object| Stored { version: *version, object };
         let services = self.services.values().map(|(v, s)| stored(v, Object::Service(s.clone())));
@@ -180,7 +182,7 @@
                 self.rules.insert(r.name.clone(), (version, r));
             }
             Object::Caller(c) => {
-                // A new key replaces the old one, which must stop working.
+                // Removes the entry under the old key, which must be rejected from now on.
                 self.callers.retain(|_, (_, old)| old.name != c.name);
                 self.callers.insert(c.key_sha256.to_ascii_lowercase(), (version, c));
             }
--- a/crates/tansyknot-config/src/unit.rs
+++ b/crates/tansyknot-config/src/unit.rs
@@ -1,31 +1,33 @@
-//! Durations and sizes as people write them: `250ms`, `30s`, `10m`, `16GB`, `512MiB`.
+//! Durations and sizes written with a unit: `250ms`, `30s`, `10m`, `16GB`, `512MiB`.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a quantity was not understood.
+/// An error in the text of a quantity.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnitError {
     /// The number is missing or malformed.
     #[error("{0:?} does not start with a whole number")]
     Number(String),
     /// The unit is missing or unknown.
-    #[error("{text:?} has no known unit; use one of {known}")]
+    #[error("{text:?} has no known unit; use one of {supported}")]
     Unit {
-        /// What was written.
+        /// The text of the quantity.
         text: String,
-        /// The units that are known.
-        known: &'static str,
+        /// The supported units.
+        supported: &'static str,
     },
-    /// The quantity does not fit.
+    /// The quantity is too large for its type.
     #[error("{0:?} is too large")]
     Range(String),
 }
 
-const SPAN_UNITS: &[(&str, u64)] =
+/// Units of durations, in milliseconds.
+const DURATION_UNITS: &[(&str, u64)] =
     &[("ms", 1), ("s", 1000), ("m", 60_000), ("h", 3_600_000), ("d", 86_400_000)];
+/// Units of sizes, in bytes.
 const SIZE_UNITS: &[(&str, u64)] = &[
     ("B", 1),
     ("kB", 1000),
@@ -36,55 +38,55 @@
     ("GiB", 1 << 30),
 ];
 
-/// A span of time, kept in whole milliseconds.
+/// A duration in whole milliseconds, written with a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Span(u64);
+pub struct DurationSetting(u64);
 
-impl Span {
-    /// Makes a span of milliseconds.
+impl DurationSetting {
+    /// Creates a duration of `ms` milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Makes a span of seconds.
+    /// Creates a duration of `s` seconds.
     pub const fn from_secs(s: u64) -> Self {
         Self(s * 1000)
     }
 
-    /// Returns the span as a [`Duration`].
+    /// Returns the value as a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 }
 
-impl TryFrom<String> for Span {
+impl TryFrom<String> for DurationSetting {
     type Error = UnitError;
 
     fn try_from(text: String) -> Result<Self, UnitError> {
-        quantity(&text, SPAN_UNITS, "ms, s, m, h, d").map(Self)
+        parse_quantity(&text, DURATION_UNITS, "ms, s, m, h, d").map(Self)
     }
 }
 
-impl From<Span> for String {
-    fn from(span: Span) -> String {
-        span.to_string()
+impl From<DurationSetting> for String {
+    fn from(duration: DurationSetting) -> String {
+        duration.to_string()
     }
 }
 
-impl fmt::Display for Span {
+impl fmt::Display for DurationSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_quantity(f, self.0, SPAN_UNITS)
+        write_quantity(f, self.0, DURATION_UNITS)
     }
 }
 
-/// A size in bytes.
+/// A size in bytes, written with a unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Bytes(u64);
 
 impl Bytes {
-    /// Makes a size of `n` bytes.
+    /// Creates a size of `n` bytes.
     pub const fn new(n: u64) -> Self {
         Self(n)
     }
@@ -99,7 +101,7 @@
     type Error = UnitError;
 
     fn try_from(text: String) -> Result<Self, UnitError> {
-        quantity(&text, SIZE_UNITS, "B, kB, MB, GB, KiB, MiB, GiB").map(Self)
+        parse_quantity(&text, SIZE_UNITS, "B, kB, MB, GB, KiB, MiB, GiB").map(Self)
     }
 }
 
@@ -115,33 +117,37 @@
     }
 }
 
-fn quantity(text: &str, units: &[(&str, u64)], known: &'static str) -> Result<u64, UnitError> {
+fn parse_quantity(
+    text: &str,
+    units: &[(&str, u64)],
+    supported: &'static str,
+) -> Result<u64, UnitError> {
     let text = text.trim();
     let digits = text.len() - text.trim_start_matches(|c: char| c.is_ascii_digit()).len();
     let (number, unit) = text.split_at(digits);
     let number: u64 = number.parse().map_err(|_| UnitError::Number(text.to_owned()))?;
     let unit = unit.trim();
     let scale = units.iter().find(|(name, _)| *name == unit);
-    let (_, scale) = scale.ok_or_else(|| UnitError::Unit { text: text.to_owned(), known })?;
+    let (_, scale) = scale.ok_or_else(|| UnitError::Unit { text: text.to_owned(), supported })?;
     number.checked_mul(*scale).ok_or_else(|| UnitError::Range(text.to_owned()))
 }
 
-/// Writes with the largest unit that divides the number.
+/// Writes `n` in the largest unit that divides it.
 fn write_quantity(f: &mut fmt::Formatter<'_>, n: u64, units: &[(&str, u64)]) -> fmt::Result {
-    let fits = units.iter().filter(|(_, scale)| n > 0 && n.is_multiple_of(*scale));
-    let (unit, scale) = fits.max_by_key(|(_, scale)| *scale).unwrap_or(&units[0]);
+    let exact = units.iter().filter(|(_, scale)| n > 0 && n.is_multiple_of(*scale));
+    let (unit, scale) = exact.max_by_key(|(_, scale)| *scale).unwrap_or(&units[0]);
     write!(f, "{}{unit}", n / scale)
 }
 
-/// A span that is longer than nothing.
+/// A duration that is greater than zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Period(Span);
+pub struct Period(DurationSetting);
 
 impl Period {
-    /// Makes a period of milliseconds; at least one.
+    /// Creates a period of `ms` milliseconds, at least 1 ms.
     pub fn from_millis(ms: u64) -> Self {
-        Self(Span::from_millis(ms.max(1)))
+        Self(DurationSetting::from_millis(ms.max(1)))
     }
 
     /// Returns the period as a [`Duration`].
@@ -154,8 +160,8 @@
     type Error = PeriodError;
 
     fn try_from(text: String) -> Result<Self, PeriodError> {
-        let span = Span::try_from(text)?;
-        if span.duration().is_zero() { Err(PeriodError::Zero) } else { Ok(Self(span)) }
+        let duration = DurationSetting::try_from(text)?;
+        if duration.duration().is_zero() { Err(PeriodError::Zero) } else { Ok(Self(duration)) }
     }
 }
 
@@ -165,24 +171,24 @@
     }
 }
 
-/// Why a text is no period.
+/// An error in the text of a period.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PeriodError {
-    /// It is no span.
+    /// The text is not a duration.
     #[error(transparent)]
     Unit(#[from] UnitError),
-    /// It is no time at all.
-    #[error("it must be longer than 0")]
+    /// The duration is zero.
+    #[error("must be greater than zero")]
     Zero,
 }
 
-/// A number from 0 up.
+/// A finite number that is not negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
-pub struct Amount(f64);
+pub struct NonNegative(f64);
 
-impl Amount {
-    /// Makes an amount of thousandths.
+impl NonNegative {
+    /// Creates a value of `n` thousandths.
     pub fn from_permille(n: u32) -> Self {
         Self(f64::from(n) / 1000.0)
     }
@@ -193,21 +199,21 @@
     }
 }
 
-/// A number is negative, or none.
+/// The error of a number that is negative or not finite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("it must be a number from 0 up")]
-pub struct AmountError;
+#[error("must be a finite number that is not negative")]
+pub struct NonNegativeError;
 
-impl TryFrom<f64> for Amount {
-    type Error = AmountError;
+impl TryFrom<f64> for NonNegative {
+    type Error = NonNegativeError;
 
-    fn try_from(n: f64) -> Result<Self, AmountError> {
-        if n.is_finite() && n >= 0.0 { Ok(Self(n)) } else { Err(AmountError) }
+    fn try_from(n: f64) -> Result<Self, NonNegativeError> {
+        if n.is_finite() && n >= 0.0 { Ok(Self(n)) } else { Err(NonNegativeError) }
     }
 }
 
-impl From<Amount> for f64 {
-    fn from(amount: Amount) -> Self {
-        amount.0
+impl From<NonNegative> for f64 {
+    fn from(number: NonNegative) -> Self {
+        number.0
     }
 }
--- a/crates/tansyknot-config/tests/documents.rs
+++ b/crates/tansyknot-config/tests/documents.rs
@@ -1,16 +1,16 @@
-//! Settings and documents: what is right is read, what is wrong is shown at its line.
+//! Settings files and documents of objects: reading, and errors reported with their line.
 
 use proptest::prelude::*;
 use tansyknot_config::{
     document, settings,
-    unit::{Bytes, Span},
+    unit::{Bytes, DurationSetting},
 };
 use yare::parameterized;
 
 const SETTINGS: &str = include_str!("../../../examples/settings/daemon.yaml");
 const OBJECTS: &str = include_str!("../../../examples/settings/objects.yaml");
 
-fn report(result: miette::Result<impl Sized>) -> String {
+fn error_text(result: miette::Result<impl Sized>) -> String {
     match result {
         Ok(_) => String::new(),
         Err(report) => format!("{report:?}"),
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn example_files_are_right() {
-    assert_eq!(report(settings::read(SETTINGS, "daemon.yaml")), "");
-    assert_eq!(report(document::read(OBJECTS, "objects.yaml")), "");
+fn example_files_are_valid() {
+    assert_eq!(error_text(settings::read(SETTINGS, "daemon.yaml")), "");
+    assert_eq!(error_text(document::read(OBJECTS, "objects.yaml")), "");
 }
 
 #[parameterized(
@@ -33,18 +33,18 @@
     missing_name = { "name: dakar-a-1", "", "name" },
     slow_refresh = { "limits:", "refresh: {config: 10s}\nlimits:", "refresh.config" },
 )]
-fn wrong_setting_is_refused_with_a_word_on_it(right: &str, wrong: &str, word: &str) {
-    let text = SETTINGS.replacen(right, wrong, 1);
+fn invalid_setting_is_rejected_with_its_cause(valid: &str, invalid: &str, cause: &str) {
+    let text = SETTINGS.replacen(valid, invalid, 1);
     assert_ne!(text, SETTINGS);
-    let report = report(settings::read(&text, "daemon.yaml"));
-    assert!(report.contains(word), "{report}");
+    let report = error_text(settings::read(&text, "daemon.yaml"));
+    assert!(report.contains(cause), "{report}");
 }
 
 #[test]
-fn wrong_setting_is_shown_with_file_and_line() {
+fn invalid_setting_is_reported_with_file_and_line() {
     let text = SETTINGS.replacen("timeout: 2s", "timeout: 2 parsecs", 1);
-    let line = text.lines().position(|l| l.contains("parsecs")).expect("it is there") + 1;
-    let report = report(settings::read(&text, "daemon.yaml"));
+    let line = text.lines().position(|l| l.contains("parsecs")).expect("the line exists") + 1;
+    let report = error_text(settings::read(&text, "daemon.yaml"));
     assert!(report.contains(&format!("daemon.yaml:{line}:")), "{report}");
 }
 
@@ -58,20 +58,20 @@
     twice = { "name: placement-summary", "name: permit-assistant", "twice" },
     retention = { "at_least: 30s", "at_least: 30m", "retention" },
 )]
-fn wrong_object_is_refused_with_a_word_on_it(right: &str, wrong: &str, word: &str) {
-    let text = OBJECTS.replacen(right, wrong, 1);
-    let report = report(document::read(&text, "objects.yaml"));
-    assert!(report.contains(word), "{report}");
+fn invalid_object_is_rejected_with_its_cause(valid: &str, invalid: &str, cause: &str) {
+    let text = OBJECTS.replacen(valid, invalid, 1);
+    let report = error_text(document::read(&text, "objects.yaml"));
+    assert!(report.contains(cause), "{report}");
 }
 
 #[parameterized(
     ms = { "250ms", 250 }, s = { "30s", 30_000 }, m = { "10m", 600_000 },
     h = { "2h", 7_200_000 }, d = { "1d", 86_400_000 }, spaced = { " 5 s ", 5000 },
 )]
-fn span_is_read_and_written(text: &str, ms: u64) {
-    let span = Span::try_from(text.to_owned()).expect("the span is right");
-    assert_eq!(span, Span::from_millis(ms));
-    assert_eq!(Span::try_from(span.to_string()), Ok(span));
+fn duration_is_parsed_and_formatted(text: &str, ms: u64) {
+    let duration = DurationSetting::try_from(text.to_owned()).expect("the duration is valid");
+    assert_eq!(duration, DurationSetting::from_millis(ms));
+    assert_eq!(DurationSetting::try_from(duration.to_string()), Ok(duration));
 }
 
 proptest! {
@@ -82,13 +82,13 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_refused(text in "\\PC{0,200}") {
+    fn any_text_is_read_or_rejected(text in "\\PC{0,200}") {
         let _ = settings::read(&text, "x");
         let _ = document::read(&text, "x");
     }
 
     #[test]
-    fn sizes_survive_writing(n in any::<u64>()) {
+    fn sizes_round_trip(n in any::<u64>()) {
         let size = Bytes::new(n);
         prop_assert_eq!(Bytes::try_from(size.to_string()), Ok(size));
     }
--- a/crates/tansyknot-config/tests/store.rs
+++ b/crates/tansyknot-config/tests/store.rs
@@ -1,4 +1,4 @@
-//! The objects in force: versions, the digest and look-ups.
+//! The configuration in force: versions, the digest and lookups.
 
 use proptest::prelude::*;
 use tansyknot_config::{
@@ -9,7 +9,7 @@
 use yare::parameterized;
 
 fn objects(text: &str) -> Vec<Object> {
-    document::read(text, "test").expect("the test's objects are right")
+    document::read(text, "test").expect("the objects are valid")
 }
 
 fn store(text: &str) -> Store {
@@ -35,7 +35,7 @@
 fn rule_in_force(rules: &str, expected: Option<&str>) {
     let store = store(&format!("{SERVICE}{rules}"));
     for name in ["s", "s-fr"] {
-        let resolved = store.resolve(name).expect("the service is there");
+        let resolved = store.resolve(name).expect("the service exists");
         assert_eq!(resolved.rule.map(|r| r.name.as_str()), expected);
     }
 }
@@ -49,7 +49,7 @@
     assert!(store.caller(&"b".repeat(64)).is_some());
 }
 
-fn numbered(i: u8) -> Op {
+fn op_from_number(i: u8) -> Op {
     let text = format!("kind: adapter\nname: a{}\nservice: s{}\n", i % 4, i);
     if i.is_multiple_of(5) {
         Op::Delete(format!("adapter/a{}", i % 4))
@@ -65,35 +65,36 @@
         ..ProptestConfig::default()
     })]
 
-    /// Puts read late or twice, as stale scans give them, change nothing once a later is known.
+    /// Stale scans return older versions of objects, late or repeatedly. These must not overwrite
+    /// a later version.
     #[test]
     fn older_puts_never_undo_later_ones(changes in prop::collection::vec(1_u8..100, 1..40)) {
-        let mut straight = Store::default();
+        let mut expected = Store::default();
         for (version, i) in changes.iter().enumerate() {
-            straight.apply(&numbered(*i), version as u64 + 1);
+            expected.apply(&op_from_number(*i), version as u64 + 1);
         }
-        let mut repeated = straight.clone();
-        for stored in straight.objects() {
+        let mut repeated = expected.clone();
+        for stored in expected.objects() {
             for version in 1..=stored.version {
                 repeated.apply(&Op::Put(stored.object.clone()), version);
             }
         }
-        prop_assert_eq!(repeated.digest(), straight.digest());
-        prop_assert_eq!(repeated.objects(), straight.objects());
+        prop_assert_eq!(repeated.digest(), expected.digest());
+        prop_assert_eq!(repeated.objects(), expected.objects());
     }
 
-    /// The digest tells the set of objects and versions, whatever order led to it.
+    /// The digest depends on the set of objects and versions only, not on the order of changes.
     #[test]
-    fn digest_is_that_of_the_objects(changes in prop::collection::vec(1_u8..100, 1..40)) {
-        let mut straight = Store::default();
+    fn digest_is_independent_of_order(changes in prop::collection::vec(1_u8..100, 1..40)) {
+        let mut expected = Store::default();
         for (version, i) in changes.iter().enumerate() {
-            straight.apply(&numbered(*i), version as u64 + 1);
+            expected.apply(&op_from_number(*i), version as u64 + 1);
         }
         let mut rebuilt = Store::default();
-        for stored in straight.objects().into_iter().rev() {
+        for stored in expected.objects().into_iter().rev() {
             rebuilt.apply(&Op::Put(stored.object), stored.version);
         }
-        prop_assert_eq!(rebuilt.digest(), straight.digest());
+        prop_assert_eq!(rebuilt.digest(), expected.digest());
     }
 
     #[test]
