--- a/crates/tansyknot-cli/src/args.rs
+++ b/crates/tansyknot-cli/src/args.rs
@@ -6,53 +6,53 @@
 use clap_complete::Shell;
 use jiff::Timestamp;
 
-/// Operates and calls tansyknot.
+/// Command line of tansyknot for operators and callers.
 #[derive(Debug, Parser)]
 #[command(
     name = "tansyknot",
     version,
-    after_help = "Exit codes: 0 done, 1 failed, 2 wrong arguments, 3 lost a race with another \
-        operator, 4 differences found, 5 refused by the daemon."
+    after_help = "Exit codes: 0 done, 1 failed, 2 wrong arguments, 3 conflict with another \
+        operator's change, 4 differences found, 5 rejected by the daemon."
 )]
 pub(crate) struct Args {
-    /// What every command takes.
+    /// Options of every command.
     #[command(flatten)]
-    pub(crate) shared: Shared,
-    /// What to do.
+    pub(crate) global: GlobalArgs,
+    /// The command.
     #[command(subcommand)]
     pub(crate) command: Command,
 }
 
-/// What every command takes.
+/// Options of every command.
 #[derive(Debug, ClapArgs)]
-pub(crate) struct Shared {
-    /// The table service.
+pub(crate) struct GlobalArgs {
+    /// Address of the table service.
     #[arg(long, global = true, env = "TANSYKNOT_TABLE", default_value = "127.0.0.1:7001")]
     pub(crate) table: SocketAddr,
-    /// How results are printed.
+    /// Output format.
     #[arg(long, global = true, value_enum, default_value_t = Output::Table)]
     pub(crate) output: Output,
 }
 
-/// How results are printed.
+/// Output formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Output {
-    /// For people.
+    /// A table for people.
     Table,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Make a document of objects the configuration in force
+    /// Apply a document of objects to the configuration
     #[command(after_help = "Example:\n  tansyknot apply -f services.yaml --author awa")]
     Apply(ApplyArgs),
     /// Delete objects
     #[command(after_help = "Example:\n  tansyknot delete service/permit-old rule/old")]
     Delete(DeleteArgs),
-    /// Show what a document would change
+    /// Show the changes that a document would make
     #[command(after_help = "Example:\n  tansyknot diff -f services.yaml")]
     Diff(DiffArgs),
     /// Show objects
@@ -64,22 +64,22 @@
     /// Show daemons, replicas and targets
     #[command(after_help = "Example:\n  tansyknot status --output json")]
     Status(StatusArgs),
-    /// Show which decisions were taken for a request, and by whom
+    /// Show the decisions taken for a request and the daemon that took them
     #[command(
-        after_help = "Examples:\n  tansyknot explain 4f1c…  (the x-request-id of an answer)\n  \
+        after_help = "Examples:\n  tansyknot explain 4f1c…  (the x-request-id of a response)\n  \
         tansyknot explain 9c41d07be2a35f68 --logs daemon-*.log"
     )]
     Explain(ExplainArgs),
-    /// Show lines of daemons' logs
+    /// Show and filter log lines of daemons
     #[command(after_help = "Examples:\n  tansyknot logs daemon-*.log --event 1621,1622\n  \
         tansyknot logs daemon-*.log --about i-b94f5f7988 --output json")]
     Logs(LogsArgs),
-    /// Work on settings files
+    /// Commands for settings files
     #[command(subcommand)]
     Settings(SettingsCommand),
-    /// Make a caller's key and its hash
+    /// Generate a key for a caller and its hash
     Key,
-    /// Ask a service, as a caller does
+    /// Send a request to a service as a caller
     #[command(after_help = "Example:\n  tansyknot ask --daemon 127.0.0.1:7100 --key K \
         permit-assistant \"Does load 7 match permit 12?\"")]
     Ask(AskArgs),
@@ -90,16 +90,16 @@
 /// Arguments of `apply`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct ApplyArgs {
-    /// A YAML document, one object a part.
+    /// A YAML file with one document per object.
     #[arg(short, long, value_name = "FILE")]
     pub(crate) file: PathBuf,
-    /// Whose name the history shows.
+    /// The author that the history shows.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub(crate) author: String,
-    /// Apply only on top of this version; otherwise on top of the newest.
+    /// Apply only if this version is the newest; the default is the newest version.
     #[arg(long, value_name = "VERSION")]
     pub(crate) base: Option<u64>,
-    /// Wait up to this many seconds until every daemon has the version in force.
+    /// Maximum wait, in seconds, until the version is in force at every daemon.
     #[arg(long, value_name = "SECONDS", default_value_t = 10)]
     pub(crate) wait: u64,
 }
@@ -107,13 +107,13 @@
 /// Arguments of `delete`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct DeleteArgs {
-    /// Objects, as `kind/name`.
+    /// The objects, as `kind/name`.
     #[arg(required = true, value_name = "KIND/NAME")]
     pub(crate) keys: Vec<String>,
-    /// Whose name the history shows.
+    /// The author that the history shows.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub(crate) author: String,
-    /// Wait up to this many seconds until every daemon has the version in force.
+    /// Maximum wait, in seconds, until the version is in force at every daemon.
     #[arg(long, value_name = "SECONDS", default_value_t = 10)]
     pub(crate) wait: u64,
 }
@@ -121,7 +121,7 @@
 /// Arguments of `diff`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct DiffArgs {
-    /// A YAML document, one object a part.
+    /// A YAML file with one document per object.
     #[arg(short, long, value_name = "FILE")]
     pub(crate) file: PathBuf,
 }
@@ -129,7 +129,7 @@
 /// Arguments of `get`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct GetArgs {
-    /// Only this kind, or this object as `kind/name`.
+    /// Show only this kind, or only this object, given as `kind/name`.
     #[arg(value_name = "KIND[/NAME]")]
     pub(crate) filter: Option<String>,
 }
@@ -137,7 +137,7 @@
 /// Arguments of `history`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct HistoryArgs {
-    /// Versions to show.
+    /// Number of versions to show.
     #[arg(long, default_value_t = 20)]
     pub(crate) limit: u64,
 }
@@ -149,9 +149,9 @@
 /// Arguments of `explain`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct ExplainArgs {
-    /// The `x-request-id` of the answer, or the caller's id on the users' platform.
+    /// The `x-request-id` of the response, or the caller's request id on the users' platform.
     pub(crate) request: String,
-    /// Explain from these log files instead of asking the daemons.
+    /// Read these log files instead of querying the daemons.
     #[arg(long, value_name = "FILE", num_args = 1..)]
     pub(crate) logs: Vec<PathBuf>,
 }
@@ -159,33 +159,33 @@
 /// Arguments of `logs`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct LogsArgs {
-    /// Files that collect the daemons' standard output.
+    /// Files with the standard output of daemons.
     #[arg(required = true, value_name = "FILE")]
     pub(crate) files: Vec<PathBuf>,
-    /// Only lines of this request.
+    /// Show only lines of this request.
     #[arg(long, value_name = "ID")]
     pub(crate) request: Option<String>,
-    /// Only lines of this daemon.
+    /// Show only lines of this daemon.
     #[arg(long, value_name = "NAME")]
     pub(crate) daemon: Option<String>,
-    /// Only these events (docs/EVENTS.md).
+    /// Show only events with these numbers (docs/EVENTS.md).
     #[arg(long, value_name = "NUMBER", value_delimiter = ',')]
     pub(crate) event: Vec<u16>,
-    /// Only lines with this word in a field: a target, a model, a reason.
+    /// Show only lines with this text in a field, such as a target, a model or a reason.
     #[arg(long, value_name = "WORD")]
     pub(crate) about: Option<String>,
-    /// Only lines from this time on, as RFC 3339 has it.
+    /// Show only lines from this time on, in RFC 3339 format.
     #[arg(long, value_name = "TIME")]
     pub(crate) from: Option<Timestamp>,
-    /// Only lines up to this time.
+    /// Show only lines up to this time.
     #[arg(long, value_name = "TIME")]
     pub(crate) to: Option<Timestamp>,
 }
 
-/// What to do with settings files.
+/// The commands for settings files.
 #[derive(Debug, Subcommand)]
 pub(crate) enum SettingsCommand {
-    /// Check settings files or documents of objects
+    /// Validate settings files or documents of objects
     #[command(after_help = "Example:\n  tansyknot settings check daemon.yaml objects.yaml")]
     Check(CheckArgs),
 }
@@ -193,7 +193,7 @@
 /// Arguments of `settings check`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct CheckArgs {
-    /// The files; one with a `kind` is read as a document of objects.
+    /// The files. A file with a `kind` is read as a document of objects.
     #[arg(required = true, value_name = "FILE")]
     pub(crate) files: Vec<PathBuf>,
 }
@@ -201,11 +201,11 @@
 /// Arguments of `ask`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct AskArgs {
-    /// The service or adapter.
+    /// The name of the service or adapter.
     pub(crate) model: String,
-    /// What to ask.
+    /// The prompt.
     pub(crate) prompt: String,
-    /// A daemon.
+    /// Address of the daemon.
     #[arg(long, env = "TANSYKNOT_DAEMON", default_value = "127.0.0.1:7100")]
     pub(crate) daemon: SocketAddr,
     /// The caller's key.
--- a/crates/tansyknot-cli/src/command.rs
+++ b/crates/tansyknot-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands, a module each.
+//! The commands, one module each.
 
 pub(crate) mod apply;
 pub(crate) mod ask;
--- a/crates/tansyknot-cli/src/command/apply.rs
+++ b/crates/tansyknot-cli/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`, `delete` and `diff`: changes of the configuration.
+//! `apply`, `delete` and `diff`: make or show changes of the configuration.
 
 use std::{
     path::Path,
@@ -16,13 +16,13 @@
 
 use super::daemons;
 use crate::{
-    args::{ApplyArgs, DeleteArgs, DiffArgs, Shared},
+    args::{ApplyArgs, DeleteArgs, DiffArgs, GlobalArgs},
     exit::{self, Failure},
     output,
 };
 
-/// How often daemons are asked whether a version is in force.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks of whether a version is in force at the daemons.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
 struct Applied {
@@ -39,26 +39,26 @@
 }
 
 /// Runs `apply`.
-pub(crate) fn run(shared: &Shared, args: &ApplyArgs) -> miette::Result<ExitCode> {
+pub(crate) fn run(global: &GlobalArgs, args: &ApplyArgs) -> miette::Result<ExitCode> {
     let objects = read(&args.file)?;
-    let table = daemons::table(shared);
+    let table = daemons::table(global);
     let (head, _) = config::read_head(&table).into_diagnostic()?;
     let current = config::read_objects(&table).into_diagnostic()?;
     let ops = config::difference(&current, &objects);
     let base = args.base.unwrap_or(head.version);
     if base != head.version {
-        return Err(Failure::Lost { won: head.version }.into());
+        return Err(Failure::Conflict { won: head.version }.into());
     }
     if ops.is_empty() {
         println!("version {base}: nothing to change");
         return Ok(ExitCode::SUCCESS);
     }
-    change(shared, &table, base, &ops, &args.author, args.wait)
+    apply_ops(global, &table, base, &ops, &args.author, args.wait)
 }
 
 /// Runs `delete`.
-pub(crate) fn delete(shared: &Shared, args: &DeleteArgs) -> miette::Result<ExitCode> {
-    let table = daemons::table(shared);
+pub(crate) fn delete(global: &GlobalArgs, args: &DeleteArgs) -> miette::Result<ExitCode> {
+    let table = daemons::table(global);
     let (head, _) = config::read_head(&table).into_diagnostic()?;
     let mut ops = Vec::with_capacity(args.keys.len());
     for key in &args.keys {
@@ -67,20 +67,20 @@
         }
         ops.push(Op::Delete(key.clone()));
     }
-    change(shared, &table, head.version, &ops, &args.author, args.wait)
+    apply_ops(global, &table, head.version, &ops, &args.author, args.wait)
 }
 
 /// Runs `diff`.
-pub(crate) fn diff(shared: &Shared, args: &DiffArgs) -> miette::Result<ExitCode> {
+pub(crate) fn diff(global: &GlobalArgs, args: &DiffArgs) -> miette::Result<ExitCode> {
     let objects = read(&args.file)?;
-    let table = daemons::table(shared);
+    let table = daemons::table(global);
     let current = config::read_objects(&table).into_diagnostic()?;
     let ops = config::difference(&current, &objects);
     let rows = ops.iter().map(|op| {
-        let known = current.iter().any(|stored| stored.object.key() == op.key());
-        vec![if known { "change" } else { "add" }.to_owned(), op.key()]
+        let exists = current.iter().any(|stored| stored.object.key() == op.key());
+        vec![if exists { "change" } else { "add" }.to_owned(), op.key()]
     });
-    output::print(shared.output, &ops, &["WHAT", "OBJECT"], rows)?;
+    output::print(global.output, &ops, &["WHAT", "OBJECT"], rows)?;
     let code = if ops.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(exit::DIFFERENT) };
     Ok(code)
 }
@@ -93,9 +93,10 @@
     document::read(&text, &name)
 }
 
-/// Applies changes, in several versions if they are many, and waits until they are in force.
-fn change(
-    shared: &Shared,
+/// Applies changes and waits until they are in force. Changes beyond the limit of one version are
+/// split into several versions.
+fn apply_ops(
+    global: &GlobalArgs,
     table: &HttpTable,
     base: u64,
     ops: &[Op],
@@ -106,58 +107,62 @@
     let at_ms = u64::try_from(at_ms).unwrap_or(u64::MAX);
     let author = Author { name: author.to_owned(), at_ms };
     let mut version = base;
-    for part in ops.chunks(config::MAX_OPS) {
-        version = match config::apply(table, version, part, &author) {
+    for batch in ops.chunks(config::MAX_OPS) {
+        version = match config::apply(table, version, batch, &author) {
             Ok(version) => version,
-            Err(ApplyError::Lost { won }) => return Err(Failure::Lost { won }.into()),
+            Err(ApplyError::Lost { won }) => return Err(Failure::Conflict { won }.into()),
             Err(e) => return Err(e).into_diagnostic(),
         };
     }
-    let in_force = await_in_force(table, version, Duration::from_secs(wait_s))?;
+    let in_force = wait_until_in_force(table, version, Duration::from_secs(wait_s))?;
     let changes = ops.iter().map(Op::key).collect();
     let applied = Applied { version, changes, in_force };
     let rows = applied.in_force.iter().map(|f| {
         let after = f.after_ms.map_or("not yet".to_owned(), |ms| format!("{ms} ms"));
         vec![f.daemon.clone(), f.version.to_string(), after]
     });
-    if shared.output == crate::args::Output::Table {
+    if global.output == crate::args::Output::Table {
         println!("version {version}: {} objects changed", applied.changes.len());
     }
-    output::print(shared.output, &applied, &["DAEMON", "VERSION", "IN FORCE AFTER"], rows)?;
-    let late: Vec<&str> = applied
+    output::print(global.output, &applied, &["DAEMON", "VERSION", "IN FORCE AFTER"], rows)?;
+    let lagging: Vec<&str> = applied
         .in_force
         .iter()
         .filter(|f| f.after_ms.is_none())
         .map(|f| f.daemon.as_str())
         .collect();
-    if late.is_empty() {
+    if lagging.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
-    Err(Failure::NotInForce { version, daemons: late.join(", ") }.into())
+    Err(Failure::NotInForce { version, daemons: lagging.join(", ") }.into())
 }
 
-/// Asks every daemon until it has the version in force or the time is over.
-fn await_in_force(table: &HttpTable, version: u64, wait: Duration) -> miette::Result<Vec<InForce>> {
-    let began = Instant::now();
-    let daemons = daemons::all(table)?;
-    let mut found: Vec<InForce> = daemons
+/// Polls every daemon until all have the version in force or the wait is over.
+fn wait_until_in_force(
+    table: &HttpTable,
+    version: u64,
+    wait: Duration,
+) -> miette::Result<Vec<InForce>> {
+    let started = Instant::now();
+    let daemons = daemons::read_all(table)?;
+    let mut states: Vec<InForce> = daemons
         .iter()
         .map(|(name, _)| InForce { daemon: name.clone(), version: 0, after_ms: None })
         .collect();
     loop {
-        for ((_, row), entry) in daemons.iter().zip(&mut found) {
+        for ((_, row), entry) in daemons.iter().zip(&mut states) {
             if entry.after_ms.is_some() {
                 continue;
             }
-            let Ok(Some(status)) = daemons::get(row, "/status") else { continue };
+            let Ok(Some(status)) = daemons::get_page(row, "/status") else { continue };
             entry.version = status.get("config_version").and_then(Value::as_u64).unwrap_or(0);
             if entry.version >= version {
-                entry.after_ms = Some(began.elapsed().as_millis());
+                entry.after_ms = Some(started.elapsed().as_millis());
             }
         }
-        if found.iter().all(|f| f.after_ms.is_some()) || began.elapsed() >= wait {
-            return Ok(found);
+        if states.iter().all(|f| f.after_ms.is_some()) || started.elapsed() >= wait {
+            return Ok(states);
         }
-        thread::sleep(ASK_EVERY);
+        thread::sleep(STATUS_POLL_INTERVAL);
     }
 }
--- a/crates/tansyknot-cli/src/command/ask.rs
+++ b/crates/tansyknot-cli/src/command/ask.rs
@@ -1,4 +1,4 @@
-//! `ask`: one streamed request, as a caller makes it.
+//! `ask`: sends one streamed request as a caller.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -43,20 +43,20 @@
     let status = res.status().as_u16();
     if status != 200 {
         let text = res.body_mut().read_to_string().into_diagnostic()?;
-        return Err(Failure::Refused { status, text }.into());
+        return Err(Failure::Rejected { status, text }.into());
     }
     print_stream(BufReader::new(res.into_body().into_reader()))
 }
 
 fn print_stream(reader: impl BufRead) -> miette::Result<ExitCode> {
     let mut out = std::io::stdout().lock();
-    let mut failed = false;
+    let mut is_error = false;
     for line in reader.lines() {
         let line = line.into_diagnostic()?;
-        failed = failed || line.starts_with("event: error");
+        is_error = is_error || line.starts_with("event: error");
         let Some(data) = line.strip_prefix("data: ") else { continue };
-        if failed {
-            return Err(Failure::Refused { status: 200, text: data.to_owned() }.into());
+        if is_error {
+            return Err(Failure::Rejected { status: 200, text: data.to_owned() }.into());
         }
         if let Ok(doc) = serde_json::from_str::<Value>(data) {
             let text = doc["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
--- a/crates/tansyknot-cli/src/command/completions.rs
+++ b/crates/tansyknot-cli/src/command/completions.rs
@@ -1,4 +1,4 @@
-//! `completions`: a script for a shell.
+//! `completions`: prints a completion script for a shell.
 
 use std::process::ExitCode;
 
--- a/crates/tansyknot-cli/src/command/explain.rs
+++ b/crates/tansyknot-cli/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: which decisions were taken for a request.
+//! `explain`: shows the decisions that daemons took for a request.
 
 use std::process::ExitCode;
 
@@ -6,25 +6,25 @@
 
 use super::daemons;
 use crate::{
-    args::{ExplainArgs, Shared},
+    args::{ExplainArgs, GlobalArgs},
     exit::Failure,
     output,
 };
 
-/// Runs `explain`.
-pub(crate) fn run(shared: &Shared, args: &ExplainArgs) -> miette::Result<ExitCode> {
-    let table = daemons::table(shared);
-    for (_, row) in daemons::all(&table)? {
+/// Runs `explain` against the daemons.
+pub(crate) fn run(global: &GlobalArgs, args: &ExplainArgs) -> miette::Result<ExitCode> {
+    let table = daemons::table(global);
+    for (_, row) in daemons::read_all(&table)? {
         let path = format!("/explain/{}", args.request);
-        let Ok(Some(trail)) = daemons::get(&row, &path) else { continue };
-        print(shared, &trail)?;
+        let Ok(Some(trail)) = daemons::get_page(&row, &path) else { continue };
+        print(global, &trail)?;
         return Ok(ExitCode::SUCCESS);
     }
-    Err(Failure::Forgotten { request: args.request.clone() }.into())
+    Err(Failure::UnknownRequest { request: args.request.clone() }.into())
 }
 
-fn print(shared: &Shared, trail: &Value) -> miette::Result<()> {
-    if shared.output == crate::args::Output::Table {
+fn print(global: &GlobalArgs, trail: &Value) -> miette::Result<()> {
+    if global.output == crate::args::Output::Table {
         println!(
             "request {} at {}, service {}, configuration version {}",
             trail["request"].as_str().unwrap_or_default(),
@@ -37,12 +37,12 @@
     let steps = trail["steps"].as_array().unwrap_or(&none);
     let rows = steps.iter().map(|step| {
         let after_ms = step["after_us"].as_f64().unwrap_or_default() / 1000.0;
-        vec![format!("{after_ms:.3}"), decision(&step["decision"])]
+        vec![format!("{after_ms:.3}"), format_decision(&step["decision"])]
     });
-    output::print(shared.output, trail, &["AFTER MS", "DECISION"], rows)
+    output::print(global.output, trail, &["AFTER MS", "DECISION"], rows)
 }
 
-fn decision(value: &Value) -> String {
+fn format_decision(value: &Value) -> String {
     let Value::Object(fields) = value else {
         return value.as_str().unwrap_or_default().to_owned();
     };
--- a/crates/tansyknot-cli/src/command/get.rs
+++ b/crates/tansyknot-cli/src/command/get.rs
@@ -1,4 +1,4 @@
-//! `get`: the objects of the configuration.
+//! `get`: shows the objects of the configuration.
 
 use std::process::ExitCode;
 
@@ -7,13 +7,13 @@
 
 use super::daemons;
 use crate::{
-    args::{GetArgs, Shared},
+    args::{GetArgs, GlobalArgs},
     output,
 };
 
 /// Runs `get`.
-pub(crate) fn run(shared: &Shared, args: &GetArgs) -> miette::Result<ExitCode> {
-    let table = daemons::table(shared);
+pub(crate) fn run(global: &GlobalArgs, args: &GetArgs) -> miette::Result<ExitCode> {
+    let table = daemons::table(global);
     let mut objects = config::read_objects(&table).into_diagnostic()?;
     if let Some(filter) = &args.filter {
         let prefix = format!("{filter}/");
@@ -23,6 +23,6 @@
         });
     }
     let rows = objects.iter().map(|stored| vec![stored.object.key(), stored.version.to_string()]);
-    output::print(shared.output, &objects, &["OBJECT", "CHANGED IN"], rows)?;
+    output::print(global.output, &objects, &["OBJECT", "CHANGED IN"], rows)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/tansyknot-cli/src/command/history.rs
+++ b/crates/tansyknot-cli/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the latest changes of the configuration.
+//! `history`: shows the latest changes of the configuration.
 
 use std::process::ExitCode;
 
@@ -7,13 +7,13 @@
 
 use super::daemons;
 use crate::{
-    args::{HistoryArgs, Shared},
+    args::{GlobalArgs, HistoryArgs},
     output,
 };
 
 /// Runs `history`.
-pub(crate) fn run(shared: &Shared, args: &HistoryArgs) -> miette::Result<ExitCode> {
-    let table = daemons::table(shared);
+pub(crate) fn run(global: &GlobalArgs, args: &HistoryArgs) -> miette::Result<ExitCode> {
+    let table = daemons::table(global);
     let (head, _) = config::read_head(&table).into_diagnostic()?;
     let after = head.version.saturating_sub(args.limit);
     let limit = usize::try_from(args.limit).into_diagnostic()?;
@@ -29,7 +29,7 @@
         ]
     });
     output::print(
-        shared.output,
+        global.output,
         &changes,
         &["VERSION", "AUTHOR", "AT (UNIX MS)", "OBJECTS"],
         rows,
--- a/crates/tansyknot-cli/src/command/key.rs
+++ b/crates/tansyknot-cli/src/command/key.rs
@@ -1,4 +1,4 @@
-//! `key`: a new key for a caller.
+//! `key`: generates a key for a caller.
 
 use std::process::ExitCode;
 
--- a/crates/tansyknot-cli/src/command/settings.rs
+++ b/crates/tansyknot-cli/src/command/settings.rs
@@ -1,4 +1,4 @@
-//! `settings check`: settings files and documents of objects.
+//! `settings check`: validates settings files and documents of objects.
 
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
         if is_document(&text) {
             let objects = document::read(&text, &name)?;
             println!("{name}: ok, {} objects", objects.len());
-        } else if is_of_fleet(&text) {
+        } else if is_fleet_settings(&text) {
             fleet::read(&text, &name)?;
             println!("{name}: ok, settings of a daemon that serves a fleet");
         } else {
@@ -28,8 +28,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Tells whether the settings have what only a daemon that serves a fleet has.
-fn is_of_fleet(text: &str) -> bool {
+/// Returns whether the settings have a section that only daemons that serve a fleet have.
+fn is_fleet_settings(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("bounds:"))
 }
 
--- a/crates/tansyknot-cli/src/command/status.rs
+++ b/crates/tansyknot-cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: every daemon, its version and its replicas.
+//! `status`: shows every daemon with its version and replicas.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 
 use super::daemons;
 use crate::{
-    args::{Shared, StatusArgs},
+    args::{GlobalArgs, StatusArgs},
     output,
 };
 
@@ -19,22 +19,22 @@
 }
 
 /// Runs `status`.
-pub(crate) fn run(shared: &Shared, _: &StatusArgs) -> miette::Result<ExitCode> {
-    let table = daemons::table(shared);
-    let mut found = Vec::new();
-    for (daemon, row) in daemons::all(&table)? {
-        let status = daemons::get(&row, "/status").ok().flatten();
-        found.push(DaemonStatus { daemon, reachable: status.is_some(), status });
+pub(crate) fn run(global: &GlobalArgs, _: &StatusArgs) -> miette::Result<ExitCode> {
+    let table = daemons::table(global);
+    let mut statuses = Vec::new();
+    for (daemon, row) in daemons::read_all(&table)? {
+        let status = daemons::get_page(&row, "/status").ok().flatten();
+        statuses.push(DaemonStatus { daemon, reachable: status.is_some(), status });
     }
     let header =
         ["DAEMON", "ZONE", "VERSION", "STATE", "CONNECTIONS", "REQUESTS", "READY REPLICAS"];
-    output::print(shared.output, &found, &header, found.iter().map(row))?;
+    output::print(global.output, &statuses, &header, statuses.iter().map(row))?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn row(found: &DaemonStatus) -> Vec<String> {
-    let Some(status) = &found.status else {
-        return vec![found.daemon.clone(), String::new(), String::new(), "unreachable".to_owned()];
+fn row(entry: &DaemonStatus) -> Vec<String> {
+    let Some(status) = &entry.status else {
+        return vec![entry.daemon.clone(), String::new(), String::new(), "unreachable".to_owned()];
     };
     let text = |name: &str| match &status[name] {
         Value::String(text) => text.clone(),
@@ -42,7 +42,7 @@
     };
     let state = if status["draining"] == Value::Bool(true) { "draining" } else { "serving" };
     vec![
-        found.daemon.clone(),
+        entry.daemon.clone(),
         text("availability_zone"),
         text("config_version"),
         state.to_owned(),
--- a/crates/tansyknot-cli/src/exit.rs
+++ b/crates/tansyknot-cli/src/exit.rs
@@ -1,67 +1,69 @@
-//! Exit codes and the failures that have one of their own.
+//! Exit codes, and the failures that determine them.
 
 use std::process::ExitCode;
 
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Another operator's change came first.
-const LOST: u8 = 3;
-/// A comparison has found differences.
+/// The exit code when another operator's change was accepted first.
+const CONFLICT: u8 = 3;
+/// The exit code when a comparison finds differences.
 pub(crate) const DIFFERENT: u8 = 4;
-/// A daemon refused a request.
-const REFUSED: u8 = 5;
-/// Anything else.
+/// The exit code when a daemon rejects a request.
+const REJECTED: u8 = 5;
+/// The exit code of all other failures.
 const FAILED: u8 = 1;
 
 /// Failures of commands.
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum Failure {
-    /// Another operator's change came first.
+    /// Another operator's change was accepted first.
     #[error("version {won} was accepted first; nothing of this change is in force")]
-    #[diagnostic(help("look at `tansyknot history`, then apply again"))]
-    Lost {
-        /// The version that won.
+    #[diagnostic(help("read `tansyknot history`, then apply again"))]
+    Conflict {
+        /// The version that was accepted.
         won: u64,
     },
-    /// A daemon refused a request.
-    #[error("the daemon answered {status}: {text}")]
-    Refused {
+    /// A daemon rejected a request.
+    #[error("the daemon responded with status {status}: {text}")]
+    Rejected {
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The body of the response.
         text: String,
     },
-    /// No daemon remembers a request.
-    #[error("no daemon remembers request {request}")]
-    #[diagnostic(help("each daemon remembers its latest 4096 requests"))]
-    Forgotten {
-        /// The request.
+    /// No daemon has a record of a request.
+    #[error("no daemon has a record of request {request}")]
+    #[diagnostic(help("each daemon keeps records of its latest 4096 requests"))]
+    UnknownRequest {
+        /// The request's id.
         request: String,
     },
-    /// No line of the log files has a request.
+    /// The log files have no line of a request.
     #[error("none of {lines} log lines has request {request}")]
-    #[diagnostic(help("give the files of all daemons; lines beyond the rate are left out (1651)"))]
+    #[diagnostic(help(
+        "give the log files of all daemons; lines above the rate limit are dropped (event 1651)"
+    ))]
     NotLogged {
-        /// The request.
+        /// The request's id.
         request: String,
-        /// The lines that were read.
+        /// The number of lines read.
         lines: usize,
     },
-    /// An object is named in another way than `kind/name`.
-    #[error("{key:?} does not name an object")]
-    #[diagnostic(help("write kind/name, for instance service/permit-assistant"))]
+    /// The key of an object does not have the form `kind/name`.
+    #[error("{key:?} is not the key of an object")]
+    #[diagnostic(help("use kind/name, for instance service/permit-assistant"))]
     BadKey {
-        /// What was written.
+        /// The key as given.
         key: String,
     },
-    /// Some daemon does not have a version in force yet.
+    /// A version is not in force at every daemon yet.
     #[error("version {version} is accepted but not in force at: {daemons}")]
     #[diagnostic(help("`tansyknot status` shows the version of each daemon"))]
     NotInForce {
         /// The version.
         version: u64,
-        /// The daemons that lag.
+        /// The names of the daemons without the version in force.
         daemons: String,
     },
 }
@@ -69,8 +71,8 @@
 /// Returns the exit code of a failure.
 pub(crate) fn code_of(report: &miette::Report) -> ExitCode {
     ExitCode::from(match report.downcast_ref::<Failure>() {
-        Some(Failure::Lost { .. }) => LOST,
-        Some(Failure::Refused { .. }) => REFUSED,
+        Some(Failure::Conflict { .. }) => CONFLICT,
+        Some(Failure::Rejected { .. }) => REJECTED,
         _ => FAILED,
     })
 }
--- a/crates/tansyknot-cli/src/line.rs
+++ b/crates/tansyknot-cli/src/line.rs
@@ -1,4 +1,4 @@
-//! The log lines of daemons, read from files that collect their standard output.
+//! Parsing of daemons' log lines from files with their standard output.
 
 use std::{
     collections::BTreeMap,
@@ -11,38 +11,38 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The field that holds an event's number.
-const EVENT: &str = "event";
+/// The name of the field with the number of the event.
+const EVENT_FIELD: &str = "event";
 
-/// One log line.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Line {
-    /// When it was written, by its daemon's clock.
+    /// The time of the line by its daemon's clock.
     pub(crate) at: Timestamp,
-    /// The daemon; the name of the file if the line does not say.
+    /// The daemon, or the name of the file if the line does not name the daemon.
     pub(crate) daemon: String,
-    /// The number of the event; 0 for lines without one.
+    /// The number of the event, or 0 if the line has none.
     pub(crate) event: u16,
-    /// What it says.
+    /// The message.
     pub(crate) message: String,
-    /// Its fields but the number.
+    /// The fields except for the number of the event.
     pub(crate) fields: BTreeMap<String, String>,
 }
 
 impl Line {
-    /// Returns a field; an empty text if the line does not have it.
+    /// Returns the value of a field, or an empty string if the line does not have the field.
     pub(crate) fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// Returns the fields as one text.
-    pub(crate) fn text(&self) -> String {
-        let all = self.fields.iter().filter(|(_, value)| !value.is_empty());
-        all.map(|(name, value)| format!("{name}={value}")).collect::<Vec<_>>().join(" ")
+    /// Returns the fields that are not empty as one string.
+    pub(crate) fn fields_text(&self) -> String {
+        let non_empty = self.fields.iter().filter(|(_, value)| !value.is_empty());
+        non_empty.map(|(name, value)| format!("{name}={value}")).collect::<Vec<_>>().join(" ")
     }
 }
 
-/// A line as it is written.
+/// A log line as the daemons write it.
 #[derive(Deserialize)]
 struct LineDoc {
     timestamp: Timestamp,
@@ -53,7 +53,7 @@
     diags: BTreeMap<String, Value>,
 }
 
-/// Reads the lines of all files in the order of their time. What is not a log line is passed over.
+/// Reads the lines of all files and sorts them by time. Lines that are not log lines are skipped.
 ///
 /// # Errors
 ///
@@ -64,27 +64,27 @@
         let text = fs::read_to_string(file)
             .into_diagnostic()
             .wrap_err_with(|| format!("{} can't be read", file.display()))?;
-        let name = stem(file);
+        let name = file_stem(file);
         lines.extend(text.lines().filter_map(|line| parse(line, &name)));
     }
     lines.sort_by_key(|line| line.at);
     Ok(lines)
 }
 
-fn stem(file: &Path) -> String {
+fn file_stem(file: &Path) -> String {
     file.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned())
 }
 
-/// Parses a line; a collector may have put something before the JSON document.
+/// Parses a line. Log collectors may put a prefix before the JSON document.
 fn parse(line: &str, file: &str) -> Option<Line> {
     let doc: LineDoc = serde_json::from_str(&line[line.find('{')?..]).ok()?;
     let mut fields: BTreeMap<String, String> =
-        doc.kvs.iter().map(|(name, value)| (name.clone(), plain(value))).collect();
-    let event = fields.remove(EVENT).and_then(|number| number.parse().ok()).unwrap_or(0);
-    let daemon = doc.diags.get("daemon").map_or_else(|| file.to_owned(), plain);
+        doc.kvs.iter().map(|(name, value)| (name.clone(), to_plain_text(value))).collect();
+    let event = fields.remove(EVENT_FIELD).and_then(|number| number.parse().ok()).unwrap_or(0);
+    let daemon = doc.diags.get("daemon").map_or_else(|| file.to_owned(), to_plain_text);
     Some(Line { at: doc.timestamp, daemon, event, message: doc.message, fields })
 }
 
-fn plain(value: &Value) -> String {
+fn to_plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), ToOwned::to_owned)
 }
--- a/crates/tansyknot-cli/src/main.rs
+++ b/crates/tansyknot-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tansyknot` binary: the command line for operators and callers.
+//! The `tansyknot` binary, the command line for operators and callers.
 
 mod args;
 mod command;
@@ -24,17 +24,17 @@
 }
 
 fn run(args: &Args) -> miette::Result<ExitCode> {
-    let shared = &args.shared;
+    let global = &args.global;
     match &args.command {
-        Command::Apply(a) => command::apply::run(shared, a),
-        Command::Delete(a) => command::apply::delete(shared, a),
-        Command::Diff(a) => command::apply::diff(shared, a),
-        Command::Get(a) => command::get::run(shared, a),
-        Command::History(a) => command::history::run(shared, a),
-        Command::Status(a) => command::status::run(shared, a),
-        Command::Explain(a) if a.logs.is_empty() => command::explain::run(shared, a),
-        Command::Explain(a) => command::cause::run(shared, &a.request, &a.logs),
-        Command::Logs(a) => command::logs::run(shared, a),
+        Command::Apply(a) => command::apply::run(global, a),
+        Command::Delete(a) => command::apply::delete(global, a),
+        Command::Diff(a) => command::apply::diff(global, a),
+        Command::Get(a) => command::get::run(global, a),
+        Command::History(a) => command::history::run(global, a),
+        Command::Status(a) => command::status::run(global, a),
+        Command::Explain(a) if a.logs.is_empty() => command::explain::run(global, a),
+        Command::Explain(a) => command::cause::run(global, &a.request, &a.logs),
+        Command::Logs(a) => command::logs::run(global, a),
         Command::Settings(SettingsCommand::Check(a)) => command::settings::check(a),
         Command::Key => command::key::run(),
         Command::Ask(a) => command::ask::run(a),
--- a/crates/tansyknot-cli/src/output.rs
+++ b/crates/tansyknot-cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing results as a table or as JSON.
+//! Output of results as a table or as JSON.
 
 use comfy_table::{Table, presets};
 use miette::IntoDiagnostic;
@@ -10,7 +10,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the document does not serialize.
+/// Fails if `doc` can't be serialized.
 pub(crate) fn print<T: Serialize>(
     output: Output,
     doc: &T,
