--- a/crates/tansyknot-standins/examples/capacity/hosts.rs
+++ b/crates/tansyknot-standins/examples/capacity/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of hosts, against the number of targets.
+//! Costs of the list of hosts by the number of targets.
 
 use std::hint::black_box;
 
@@ -40,27 +40,28 @@
 
 pub(crate) fn measure() {
     slope::measure("list of hosts in one answer", "targets", "bytes", TARGETS, |n| {
-        serde_json::to_string(&hosts(n).state.list()).expect("it serializes").len() as f64
+        serde_json::to_string(&hosts(n).state.list()).expect("the list serializes").len() as f64
     });
     slope::measure("taking in a changed list", "targets", "us", TARGETS, |n| {
         let (hosts, view) = (hosts(n), HostView::default());
-        slope::micros_each(20, || {
+        slope::average_micros(20, || {
             view.refresh(&hosts, Time::default()).expect("the list is up");
         })
     });
     slope::measure("selecting targets for a placement", "targets", "us", TARGETS, |n| {
         let (hosts, view) = (hosts(n), HostView::default());
         view.refresh(&hosts, Time::default()).expect("the list is up");
-        let selector = Selector::parse("pool=pool-3").expect("the selector is right");
-        slope::micros_each(50, || drop(black_box(view.select(&selector))))
+        let selector = Selector::parse("pool=pool-3").expect("the selector is valid");
+        slope::average_micros(50, || drop(black_box(view.select(&selector))))
     });
 }
 
-/// Measures memory; runs before anything else, since memory given back hides later growth.
+/// Measures memory. Runs before the other measurements, since the reuse of freed memory hides later
+/// growth.
 pub(crate) fn measure_memory() {
     const LARGEST_FIRST: &[usize] = &[27_600, 6900, 1600, 400];
     slope::measure("list of hosts in memory", "targets", "bytes", LARGEST_FIRST, |n| {
-        let (bytes, list) = slope::grown_bytes(|| (0..n).map(target).collect::<Vec<_>>());
+        let (bytes, list) = slope::memory_growth(|| (0..n).map(target).collect::<Vec<_>>());
         std::mem::forget(list);
         bytes
     });
--- a/crates/tansyknot-standins/examples/capacity/main.rs
+++ b/crates/tansyknot-standins/examples/capacity/main.rs
@@ -1,7 +1,7 @@
-//! Measures the slopes of docs/CAPACITY.md: each mechanism at several sizes, with a linear fit.
+//! Measures the cost of each mechanism in docs/CAPACITY.md at several sizes, with a linear fit.
 //!
-//! Prints a JSON line for each slope. No sockets: the pure state and the fakes are driven at the
-//! sizes that processes on one machine can't show.
+//! Prints a JSON line for each mechanism. The state machines and fakes run without sockets, at
+//! sizes that processes on one machine can't reach.
 
 mod config;
 mod hosts;
--- a/crates/tansyknot-standins/examples/capacity/members.rs
+++ b/crates/tansyknot-standins/examples/capacity/members.rs
@@ -1,4 +1,4 @@
-//! The membership and the messages between daemons, against the number of daemons.
+//! Costs of the membership and of the messages between daemons, by the number of daemons.
 
 use std::{hint::black_box, net::SocketAddr, sync::Arc};
 
@@ -42,56 +42,58 @@
     }
 }
 
-struct Round {
+struct DaemonCosts {
     messages_per_s: f64,
     bytes_per_s: f64,
     us_per_s: f64,
 }
 
-/// Lets every daemon run for some virtual seconds and counts what one of them sends.
-fn run(count: usize, restarts: usize) -> Round {
+/// Simulates the daemons for some virtual seconds. Returns the average costs of one daemon.
+fn simulate(count: usize, restarts: usize) -> DaemonCosts {
     const SECONDS: u64 = 20;
     let mut rng = StdRng::seed_from_u64(1);
-    let mut all: Vec<Members> = (0..count)
+    let mut daemons: Vec<Members> = (0..count)
         .map(|i| Members::new(myself(i, address(i)), MembersOptions::default()))
         .collect();
-    for members in &mut all {
+    for members in &mut daemons {
         members.join((0..count).map(update), Time::default());
     }
     let (mut messages, mut bytes, mut us) = (0_u64, 0_u64, 0.0);
     for tick in 1..=SECONDS * 10 {
         let now = Time::from_millis(tick * 100);
         if tick == 100 {
-            for (i, members) in all.iter_mut().enumerate().take(restarts) {
+            for (i, members) in daemons.iter_mut().enumerate().take(restarts) {
                 *members = Members::new(myself(i, address(i)), MembersOptions::default());
                 members.join((0..count).map(update), now);
             }
         }
         for i in 0..count {
             let mut queue: Vec<(usize, Outgoing)> = Vec::new();
-            us += slope::micros_each(1, || {
-                queue.extend(all[i].tick(now, &mut rng).into_iter().map(|o| (i, o)));
+            us += slope::average_micros(1, || {
+                queue.extend(daemons[i].tick(now, &mut rng).into_iter().map(|o| (i, o)));
             });
             while let Some((from, out)) = queue.pop() {
                 messages += 1;
                 bytes += encoded_bytes(out.message.clone());
-                let to = (0..count).find(|j| address(*j) == out.to).expect("all are there");
-                us += slope::micros_each(1, || {
-                    let answers = all[to].receive(address(from), out.message.clone(), now);
-                    queue.extend(answers.into_iter().map(|o| (to, o)));
+                let to = (0..count)
+                    .find(|j| address(*j) == out.to)
+                    .expect("the address is that of a daemon");
+                us += slope::average_micros(1, || {
+                    let replies = daemons[to].receive(address(from), out.message.clone(), now);
+                    queue.extend(replies.into_iter().map(|o| (to, o)));
                 });
             }
         }
     }
     let daemon_seconds = (count as u64 * SECONDS) as f64;
-    Round {
+    DaemonCosts {
         messages_per_s: messages as f64 / daemon_seconds,
         bytes_per_s: bytes as f64 / daemon_seconds,
         us_per_s: us / daemon_seconds,
     }
 }
 
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
 fn encoded_bytes(message: Message) -> u64 {
@@ -101,18 +103,20 @@
 
 pub(crate) fn measure() {
     slope::measure("membership messages sent by a daemon", "daemons", "messages/s", DAEMONS, |n| {
-        run(n, 0).messages_per_s
+        simulate(n, 0).messages_per_s
     });
     slope::measure("membership bytes sent by a daemon", "daemons", "bytes/s", DAEMONS, |n| {
-        run(n, 0).bytes_per_s
+        simulate(n, 0).bytes_per_s
+    });
+    slope::measure("membership processor time", "daemons", "us/s", DAEMONS, |n| {
+        simulate(n, 0).us_per_s
     });
-    slope::measure("membership processor time", "daemons", "us/s", DAEMONS, |n| run(n, 0).us_per_s);
     slope::measure(
         "membership bytes with a tenth restarting in 20 s",
         "daemons",
         "bytes/s",
         DAEMONS,
-        |n| run(n, n / 10).bytes_per_s,
+        |n| simulate(n, n / 10).bytes_per_s,
     );
     slope::measure("asking who coordinates a service", "daemons", "us", DAEMONS, |n| {
         let me = myself(0, ([127, 0, 0, 1], 0).into());
@@ -121,11 +125,11 @@
         node.join((1..n).map(update).collect());
         let services: Vec<ServiceName> =
             (0..1900).map(|i| ServiceName::new(format!("service-{i:04}"))).collect();
-        let ask = || {
+        let query = || {
             black_box(services.iter().filter(|s| node.is_coordinator(s)).count());
         };
-        ask();
-        slope::micros_each(5, ask) / 1900.0
+        query();
+        slope::average_micros(5, query) / 1900.0
     });
     slope::measure(
         "reports of use",
@@ -138,24 +142,26 @@
                 ago_ms: 300,
                 in_flight: 3,
             };
-            // At 340 daemons nearly every service has a coordinator of its own.
+            // With 340 daemons, nearly every service has a different coordinator, so each report is
+            // a separate message.
             (0..n).map(|i| encoded_bytes(Message::Used { uses: vec![entry(i)] })).sum::<u64>()
                 as f64
         },
     );
 }
 
-/// Measures memory; runs before anything else, since memory given back hides later growth.
+/// Measures memory. Runs before the other measurements, since the reuse of freed memory hides later
+/// growth.
 pub(crate) fn measure_memory() {
     const MEMBERS: &[usize] = &[34_000, 16_000, 4000, 1000];
     slope::measure("membership in memory", "members", "bytes", MEMBERS, |n| {
-        let (bytes, members) = slope::grown_bytes(|| {
+        let (bytes, members) = slope::memory_growth(|| {
             let mut members = Members::new(myself(0, address(0)), MembersOptions::default());
-            let many = (0..n).map(|i| Update {
+            let updates = (0..n).map(|i| Update {
                 daemon: DaemonName::new(format!("region-{}-daemon-{i:05}", i % 6)),
                 ..update(i % 250)
             });
-            members.join(many, Time::default());
+            members.join(updates, Time::default());
             members
         });
         std::mem::forget(members);
--- a/crates/tansyknot-standins/examples/capacity/replicas.rs
+++ b/crates/tansyknot-standins/examples/capacity/replicas.rs
@@ -1,4 +1,5 @@
-//! The control loop: table calls of a wake and an idle event, time of a look at all services.
+//! Costs of the control loop: table calls of a cold start and of a removal, and the time to check
+//! all services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -29,7 +30,7 @@
 
 use crate::slope;
 
-struct World {
+struct Setup {
     table: FakeTable,
     engines: Arc<FakeEngines>,
     clock: ManualClock,
@@ -37,10 +38,10 @@
     reconciler: Reconciler,
 }
 
-/// Makes a daemon alone with `services` services and `targets` engines.
-fn world(services: usize, targets: usize) -> World {
+/// Creates a single daemon with `services` services and `targets` engines.
+fn setup(services: usize, targets: usize) -> Setup {
     let table = FakeTable::default();
-    apply(&table, services);
+    apply_objects(&table, services);
     let engines: Arc<FakeEngines> = Arc::default();
     let hosts = FakeHosts::default();
     let list: Vec<Target> = (0..targets).map(target).collect();
@@ -76,10 +77,10 @@
         clock,
         incarnation: Incarnation::from("bench#1"),
     });
-    World { table, engines, clock: manual, pools, reconciler }
+    Setup { table, engines, clock: manual, pools, reconciler }
 }
 
-fn apply(table: &FakeTable, services: usize) {
+fn apply_objects(table: &FakeTable, services: usize) {
     let mut text = "kind: rule\nname: all\nservices: ''\ntargets: ''\nreplicas: {max: 2}\n\
         retention: {at_least: 10s, at_most: 20s}\n"
         .to_owned();
@@ -90,11 +91,11 @@
             i % 20
         ));
     }
-    let objects = document::read(&text, "bench").expect("the objects are right");
+    let objects = document::read(&text, "bench").expect("the objects are valid");
     let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
     let author = Author { name: "bench".to_owned(), at_ms: 0 };
-    for (version, part) in ops.chunks(config::MAX_OPS).enumerate() {
-        config::apply(table, version as u64, part, &author).expect("nobody races");
+    for (version, batch) in ops.chunks(config::MAX_OPS).enumerate() {
+        config::apply(table, version as u64, batch, &author).expect("no other change is made");
     }
 }
 
@@ -111,12 +112,12 @@
     }
 }
 
-impl World {
+impl Setup {
     fn service(i: usize) -> ServiceName {
         ServiceName::new(format!("service-{i:04}"))
     }
 
-    fn ask(&self, service: &ServiceName) {
+    fn acquire(&self, service: &ServiceName) {
         let deadline = self.clock.now() + Duration::from_secs(600);
         let ask = Ask { service, waiter: Waiter { rank: 0, deadline }, prefix: None, avoid: &[] };
         let zone = ZoneName::from("zone-0");
@@ -124,10 +125,10 @@
         drop(self.pools.acquire(&ask, options));
     }
 
-    /// Wakes a service and lets it fall idle until it is removed.
-    fn wake_and_idle(&self, i: usize) {
+    /// Loads the model of a service and lets it become idle until it is removed.
+    fn load_and_remove(&self, i: usize) {
         let service = Self::service(i);
-        self.ask(&service);
+        self.acquire(&service);
         self.step(&service);
         self.engines.finish_loads();
         self.step(&service);
@@ -153,39 +154,39 @@
 pub(crate) fn measure() {
     const EVENTS: &[usize] = &[10, 20, 40, 80];
     slope::measure("table commits of wake and idle events", "events", "commits", EVENTS, |n| {
-        let world = world(100, 8);
-        let before = world.table.state.counts().commits;
-        (0..n).for_each(|i| world.wake_and_idle(i));
-        (world.table.state.counts().commits - before) as f64
+        let setup = setup(100, 8);
+        let before = setup.table.state.counts().commits;
+        (0..n).for_each(|i| setup.load_and_remove(i));
+        (setup.table.state.counts().commits - before) as f64
     });
     const SERVICES: &[usize] = &[100, 400, 1900, 8000];
     slope::measure("a look at all services", "services with a row", "us", SERVICES, |n| {
-        let world = world(100, 8);
+        let setup = setup(100, 8);
         for i in 0..n {
-            let row = serde_json::to_string(&ready_row(i)).expect("it serializes");
+            let row = serde_json::to_string(&ready_row(i)).expect("the row serializes");
             let key = format!("replica/service-{i:04}");
             let txn = Transaction::default().set(key, Some(row));
-            world.table.commit(&txn).expect("the table is up");
+            setup.table.commit(&txn).expect("the table is up");
         }
-        world.reconciler.scan().expect("the table is up");
-        world.reconciler.due();
-        slope::micros_each(20, || {
-            world.clock.advance(Duration::from_secs(1));
-            drop(world.reconciler.due());
+        setup.reconciler.scan().expect("the table is up");
+        setup.reconciler.due();
+        slope::average_micros(20, || {
+            setup.clock.advance(Duration::from_secs(1));
+            drop(setup.reconciler.due());
         })
     });
     slope::measure("table reads of a quiet step", "services", "reads", &[10, 20, 40, 80], |n| {
-        let world = world(100, 8);
-        (0..n).for_each(|i| world.step(&World::service(i)));
-        world.clock.advance(Duration::from_secs(1));
-        let before = world.table.state.counts().reads;
-        (0..n).for_each(|i| world.step(&World::service(i)));
-        (world.table.state.counts().reads - before) as f64
+        let setup = setup(100, 8);
+        (0..n).for_each(|i| setup.step(&Setup::service(i)));
+        setup.clock.advance(Duration::from_secs(1));
+        let before = setup.table.state.counts().reads;
+        (0..n).for_each(|i| setup.step(&Setup::service(i)));
+        (setup.table.state.counts().reads - before) as f64
     });
     slope::measure("replica row", "slots", "bytes", &[1, 2, 4, 8], |n| {
         let mut row = ready_row(1);
         row.slots = vec![row.slots[0].clone(); n];
-        serde_json::to_string(&row).expect("it serializes").len() as f64
+        serde_json::to_string(&row).expect("the row serializes").len() as f64
     });
 }
 
@@ -203,15 +204,16 @@
     ReplicaRow { last_fence: 12, slots: vec![slot] }
 }
 
-/// Measures memory; runs before anything else, since memory given back hides later growth.
+/// Measures memory. Runs before the other measurements, since the reuse of freed memory hides later
+/// growth.
 pub(crate) fn measure_memory() {
     const LARGEST_FIRST: &[usize] = &[16_000, 8000, 1900, 400];
     slope::measure("pools in memory", "services", "bytes", LARGEST_FIRST, |n| {
-        let world = world(1, 1);
-        let (bytes, ()) = slope::grown_bytes(|| {
-            (0..n).for_each(|i| world.ask(&ServiceName::new(format!("s-{i:05}"))));
+        let setup = setup(1, 1);
+        let (bytes, ()) = slope::memory_growth(|| {
+            (0..n).for_each(|i| setup.acquire(&ServiceName::new(format!("s-{i:05}"))));
         });
-        std::mem::forget(world);
+        std::mem::forget(setup);
         bytes
     });
     slope::measure(
@@ -221,9 +223,9 @@
         LARGEST_FIRST,
         |n| {
             let directory = Directory::default();
-            let (bytes, ()) = slope::grown_bytes(|| {
+            let (bytes, ()) = slope::memory_growth(|| {
                 for i in 0..n {
-                    let service = World::service(i);
+                    let service = Setup::service(i);
                     directory.keep(
                         &service,
                         1,
--- a/crates/tansyknot-standins/examples/capacity/slope.rs
+++ b/crates/tansyknot-standins/examples/capacity/slope.rs
@@ -1,10 +1,10 @@
-//! A measured slope: sizes, values, the least-squares line and its residual.
+//! Measurement of a cost at several sizes, with the least-squares line and its residual.
 
 use std::{fs, time::Instant};
 
 use serde::Serialize;
 
-/// A mechanism's cost against one size.
+/// The cost of a mechanism as a linear function of a size.
 #[derive(Serialize)]
 pub(crate) struct Slope {
     mechanism: &'static str,
@@ -14,11 +14,11 @@
     values: Vec<f64>,
     slope: f64,
     intercept: f64,
-    /// The root mean square of the distances from the line, as a share of the mean value.
+    /// The root mean square of the distances from the line, relative to the mean value.
     residual: f64,
 }
 
-/// Measures `f` at each size and prints the fit.
+/// Evaluates `f` at each size and prints the linear fit.
 pub(crate) fn measure(
     mechanism: &'static str,
     against: &'static str,
@@ -51,20 +51,20 @@
     if mean.abs() < f64::EPSILON { 0.0 } else { rms / mean.abs() }
 }
 
-/// Returns the microseconds that one of `times` calls of `f` takes.
-pub(crate) fn micros_each(times: usize, mut f: impl FnMut()) -> f64 {
-    let began = Instant::now();
+/// Returns the average time of a call of `f` over `times` calls, in microseconds.
+pub(crate) fn average_micros(times: usize, mut f: impl FnMut()) -> f64 {
+    let started = Instant::now();
     for _ in 0..times {
         f();
     }
-    began.elapsed().as_secs_f64() * 1e6 / times as f64
+    started.elapsed().as_secs_f64() * 1e6 / times as f64
 }
 
-/// Returns the bytes by which the memory in use grows while `f` makes what it returns.
-pub(crate) fn grown_bytes<T>(f: impl FnOnce() -> T) -> (f64, T) {
+/// Returns the growth of resident memory in bytes during a call of `f`, and the value it returns.
+pub(crate) fn memory_growth<T>(f: impl FnOnce() -> T) -> (f64, T) {
     let before = resident_bytes();
-    let made = f();
-    (resident_bytes() - before, made)
+    let value = f();
+    (resident_bytes() - before, value)
 }
 
 fn resident_bytes() -> f64 {
--- a/crates/tansyknot-standins/examples/engine.rs
+++ b/crates/tansyknot-standins/examples/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine as a process.
+//! Runs the stand-in for a model engine as a process.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,25 +8,25 @@
 
 #[derive(Parser)]
 struct Args {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     listen: SocketAddr,
-    /// Memory for models, in GB.
+    /// The memory for models, in GB.
     #[arg(long, default_value_t = 80)]
     memory_gb: u64,
     /// Ignore fencing tokens instead of checking them.
     #[arg(long)]
     ignore_fencing: bool,
-    /// Where remote checkpoints come from.
+    /// The address of the weight store, the source of remote checkpoints.
     #[arg(long)]
     weights: Option<SocketAddr>,
-    /// How long a load takes from the host's own disk, in ms.
+    /// The duration of a load from the host's local disk, in ms.
     #[arg(long, default_value_t = 300)]
     disk_load_ms: u64,
-    /// Time to the first token, in ms.
+    /// The time to the first token, in ms.
     #[arg(long, default_value_t = 20)]
     first_token_ms: u64,
-    /// Time between tokens, in ms.
+    /// The time between tokens, in ms.
     #[arg(long, default_value_t = 20)]
     token_gap_ms: u64,
 }
--- a/crates/tansyknot-standins/examples/hosts.rs
+++ b/crates/tansyknot-standins/examples/hosts.rs
@@ -1,4 +1,5 @@
-//! The list of hosts as a process: `--listen ADDRESS`; fill it with `POST /hosts`.
+//! Runs the stand-in for the list of hosts as a process: `--listen ADDRESS`. `POST /hosts` sets
+//! the list.
 
 use std::net::SocketAddr;
 
@@ -6,7 +7,7 @@
 
 #[derive(Parser)]
 struct Args {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     listen: SocketAddr,
 }
--- a/crates/tansyknot-standins/examples/table.rs
+++ b/crates/tansyknot-standins/examples/table.rs
@@ -1,4 +1,4 @@
-//! The table service as a process: `--listen ADDRESS`.
+//! Runs the stand-in for the table service as a process: `--listen ADDRESS`.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 #[derive(Parser)]
 struct Args {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     listen: SocketAddr,
 }
--- a/crates/tansyknot-standins/examples/weight_store.rs
+++ b/crates/tansyknot-standins/examples/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store as a process: `--listen ADDRESS --load-ms N`.
+//! Runs the stand-in for the weight store as a process: `--listen ADDRESS --load-ms N`.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 
 #[derive(Parser)]
 struct Args {
-    /// Where it listens.
+    /// The address to listen on.
     #[arg(long)]
     listen: SocketAddr,
-    /// How long a load takes at full speed.
+    /// The duration of a load at full speed, in ms.
     #[arg(long, default_value_t = 1500)]
     load_ms: u64,
 }
--- a/crates/tansyknot-standins/src/engine.rs
+++ b/crates/tansyknot-standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a model engine.
+//! A stand-in for a model engine.
 
 pub mod cache;
 pub mod models;
@@ -27,30 +27,31 @@
 use self::{
     cache::Cache,
     models::{Models, OrderError},
-    streams::{Stream, Streams},
-    turns::Turns,
+    streams::{Streams, TokenStream},
+    turns::PermitQueue,
 };
 use crate::server::{self, Running};
 
 /// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Memory for models, in bytes.
+    /// The memory for models, in bytes.
     pub memory_bytes: u64,
-    /// Whether orders with an old fencing token are refused.
+    /// Whether orders with an old fencing token are rejected.
     pub fencing: Fencing,
-    /// How long a load takes from the host's own disk.
+    /// The duration of a load from the host's local disk.
     pub disk_load: Duration,
-    /// The weight store; without one, remote loads take as long as from disk.
+    /// The weight store. Without one, remote loads take as long as loads from disk.
     pub weights: Option<SocketAddr>,
-    /// Time to the first token.
+    /// The time to the first token.
     pub first_token: Duration,
-    /// Time between tokens.
+    /// The time between tokens.
     pub token_gap: Duration,
-    /// How far the load report and the cache events lag.
+    /// The delay of the reported request counts and of the cache events.
     pub report_lag: Duration,
-    /// Requests that run at once; further ones take turns by priority.
-    pub at_once: usize,
+    /// The maximum number of requests that run at once. Further requests wait in the order of their
+    /// priority.
+    pub max_concurrent_requests: usize,
 }
 
 impl Default for EngineOptions {
@@ -63,50 +64,52 @@
             first_token: Duration::from_millis(20),
             token_gap: Duration::from_millis(20),
             report_lag: Duration::from_millis(500),
-            at_once: 4096,
+            max_concurrent_requests: 4096,
         }
     }
 }
 
-/// Faults of an engine.
+/// Faults that an engine can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[expect(clippy::struct_excessive_bools, reason = "each fault is switched on by itself")]
+#[expect(clippy::struct_excessive_bools, reason = "each fault is enabled separately")]
 pub struct EngineFaults {
-    /// Streams end cleanly after this many events, without the last one; zero never.
+    /// Streams end cleanly after this many events, without the final event. Zero disables the
+    /// fault.
     pub end_after_events: u64,
-    /// Streams are cut off in the middle of the event after this many; zero never.
+    /// The connection of a stream is closed in the middle of the event after this many events. Zero
+    /// disables the fault.
     pub cut_after_events: u64,
-    /// A broken stream can't be resumed.
+    /// Broken streams can't be resumed.
     pub forget_streams: bool,
-    /// Requests are refused before they start.
+    /// Requests are rejected before they start.
     pub refuse: bool,
-    /// Whole answers are cut off half-way.
+    /// Responses that are not streamed are truncated.
     pub truncate: bool,
-    /// Control orders are cut off after they took effect.
+    /// The connection of a control order is closed after the order has taken effect.
     pub lose_replies: bool,
 }
 
-/// What an engine has run, for tests that count.
+/// The requests that an engine has executed, for tests that count them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Ran {
-    /// The requests started, by identifier, in order.
+pub struct ExecutedRequests {
+    /// The identifiers of the started requests, in order.
     pub requests: Vec<String>,
 }
 
-/// An engine.
+/// A model engine.
 pub struct Engine {
     options: EngineOptions,
-    /// Its models.
+    /// The models of the engine.
     pub models: Models,
-    /// The turns of requests.
-    pub turns: Turns,
+    /// The queue of requests for permits to run.
+    pub permits: PermitQueue,
     cache: Cache,
     role: Mutex<RoleOrder>,
     streams: Streams,
-    ran: Mutex<Ran>,
+    executed: Mutex<ExecutedRequests>,
     report: Mutex<Option<(Instant, EngineStatus)>>,
-    /// The faults that are switched on.
+    /// The enabled faults.
     pub faults: Mutex<EngineFaults>,
 }
 
@@ -116,13 +119,13 @@
     adapter: AdapterName,
 }
 
-/// What an engine is used for, and with which version of its software's model format.
+/// The role of an engine and the version of the model format of its software.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleOrder {
     /// The role: `serve`, `prefill` or `decode`.
     #[serde(default)]
     pub role: String,
-    /// The version.
+    /// The version of the model format.
     #[serde(default)]
     pub version: String,
 }
@@ -133,7 +136,7 @@
 }
 
 #[derive(Deserialize)]
-struct Completion {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     stream: bool,
@@ -151,7 +154,7 @@
 }
 
 #[derive(Serialize)]
-struct WholeCompletion<'a> {
+struct CompletionResponse<'a> {
     id: &'a str,
     object: &'a str,
     model: &'a str,
@@ -178,42 +181,43 @@
 }
 
 impl Engine {
-    /// Makes an engine without models.
+    /// Creates an engine without models.
     pub fn new(options: EngineOptions) -> Self {
         let models = Models::new(options.memory_bytes, options.fencing);
-        let turns = Turns::new(options.at_once);
+        let permits = PermitQueue::new(options.max_concurrent_requests);
         Self {
             options,
             models,
-            turns,
+            permits,
             cache: Cache::default(),
             role: Mutex::default(),
             streams: Streams::default(),
-            ran: Mutex::default(),
+            executed: Mutex::default(),
             report: Mutex::default(),
             faults: Mutex::default(),
         }
     }
 
-    /// Returns what has been run.
-    pub fn ran(&self) -> Ran {
-        self.ran.lock().expect("no holder of the lock panics").clone()
+    /// Returns the executed requests.
+    pub fn ran(&self) -> ExecutedRequests {
+        self.executed.lock().expect("no holder of the lock panics").clone()
     }
 
-    /// Returns the status with request counts that lag.
+    /// Returns the status with request counts that lag by [`EngineOptions::report_lag`].
     fn status(&self) -> EngineStatus {
-        let now = self.models.status();
+        let current = self.models.status();
         let mut report = self.report.lock().expect("no holder of the lock panics");
-        let fresh = report.as_ref().is_some_and(|(at, _)| at.elapsed() < self.options.report_lag);
-        if !fresh {
-            *report = Some((Instant::now(), now.clone()));
+        let is_recent =
+            report.as_ref().is_some_and(|(at, _)| at.elapsed() < self.options.report_lag);
+        if !is_recent {
+            *report = Some((Instant::now(), current.clone()));
         }
-        let mut status = now;
+        let mut status = current;
         if let Some((_, old)) = report.as_ref() {
             for model in &mut status.models {
-                if let Some(then) = old.model(&model.service) {
-                    // Busy is never hidden by the lag: a report may be late, not idle too early.
-                    model.in_flight = model.in_flight.max(then.in_flight);
+                if let Some(old_model) = old.model(&model.service) {
+                    // The lag may report a model as busy for too long, but never as idle too early.
+                    model.in_flight = model.in_flight.max(old_model.in_flight);
                 }
             }
         }
@@ -228,18 +232,18 @@
         let engine = Arc::clone(self);
         let service = order.service.clone();
         thread::spawn(move || {
-            engine.fetch(tier);
+            engine.transfer_weights(tier);
             engine.models.finish_load(&service);
         });
         Ok(())
     }
 
-    fn fetch(&self, tier: tansyknot_core::engine::Tier) {
+    fn transfer_weights(&self, tier: tansyknot_core::engine::Tier) {
         use tansyknot_core::engine::Tier;
         match (tier, self.options.weights) {
             (Tier::Memory, _) => thread::sleep(self.options.disk_load / 4),
             (Tier::Remote, Some(weights)) => {
-                // A store that is away makes the load take as long as its client waits.
+                // If the store is unreachable, the load takes until the client's timeout.
                 let _ = ureq::get(format!("http://{weights}/load")).call();
             }
             (Tier::Disk | Tier::Remote, _) => thread::sleep(self.options.disk_load),
@@ -257,32 +261,32 @@
             "/control/ran" => return server::json(stream, after, 200, &self.ran()),
             "/control/peaks" => return server::json(stream, after, 200, &self.models.peaks()),
             "/control/cache-events" => {
-                let after_seq = server::query(req, "after").parse().unwrap_or(0);
+                let after_seq = server::query_param(req, "after").parse().unwrap_or(0);
                 let events = self.cache.events(after_seq, self.options.report_lag);
                 return server::json(stream, after, 200, &events);
             }
             "/control/role" => {
                 let mut role = self.role.lock().expect("no holder of the lock panics");
                 if req.head.method == "POST" {
-                    *role = server::parse(req)?;
+                    *role = server::parse_body(req)?;
                 }
                 return server::json(stream, after, 200, &role.clone());
             }
             "/control/cancel" => {
-                let order: CancelOrder = server::parse(req)?;
+                let order: CancelOrder = server::parse_body(req)?;
                 self.streams.cancel(&order.attempt);
                 Ok(())
             }
-            "/control/load" => self.load(&server::parse::<LoadOrder>(req)?),
-            "/control/unload" => self.models.unload(&server::parse::<UnloadOrder>(req)?),
+            "/control/load" => self.load(&server::parse_body::<LoadOrder>(req)?),
+            "/control/unload" => self.models.unload(&server::parse_body::<UnloadOrder>(req)?),
             "/control/adapter" => {
-                let order: AdapterOrder = server::parse(req)?;
+                let order: AdapterOrder = server::parse_body(req)?;
                 self.models.load_adapter(&order.service, &order.adapter)
             }
             _ => return server::json(stream, after, 404, &"no such page"),
         };
         if self.faults().lose_replies {
-            return cut(stream);
+            return close_connection(stream);
         }
         match result {
             Ok(()) => server::json(stream, after, 202, &()),
@@ -297,7 +301,7 @@
     }
 
     fn complete(&self, req: &Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
-        let Ok(body) = server::parse::<Completion>(req) else {
+        let Ok(body) = server::parse_body::<CompletionRequest>(req) else {
             return server::json(stream, after, 400, &"bad body");
         };
         if self.faults().refuse {
@@ -307,57 +311,57 @@
             return server::json(stream, after, 404, &"model not loaded");
         };
         let priority = req.head.header("x-priority").and_then(|p| p.parse().ok()).unwrap_or(0);
-        let _turn = self.turns.take(priority);
+        let _permit = self.permits.acquire(priority);
         self.cache.store(prefix_hash(&req.body));
         let attempt = req.head.header("x-attempt-id").unwrap_or("none").to_owned();
         let request = req.head.header("x-request-id").unwrap_or("none").to_owned();
-        self.ran.lock().expect("no holder of the lock panics").requests.push(request);
-        let timed = Stream {
+        self.executed.lock().expect("no holder of the lock panics").requests.push(request);
+        let token_stream = TokenStream {
             attempt,
             model: body.model,
-            began: Instant::now(),
+            started_at: Instant::now(),
             first_token: self.options.first_token,
             token_gap: self.options.token_gap,
             tokens: body.max_tokens,
         };
         if body.stream {
-            self.streams.keep(&timed);
-            return self.write_stream(&timed, 0, stream, after);
+            self.streams.insert(&token_stream);
+            return self.write_stream(&token_stream, 0, stream, after);
         }
-        self.write_whole(&timed, stream, after)
+        self.write_response(&token_stream, stream, after)
     }
 
-    fn write_whole(
+    fn write_response(
         &self,
-        timed: &Stream,
+        token_stream: &TokenStream,
         stream: &mut TcpStream,
         after: After,
     ) -> io::Result<After> {
-        thread::sleep(timed.due(timed.tokens));
-        let words: Vec<String> = (0..timed.tokens).map(streams::token).collect();
-        let doc = WholeCompletion {
-            id: &timed.attempt,
+        thread::sleep(token_stream.due_after(token_stream.tokens));
+        let words: Vec<String> = (0..token_stream.tokens).map(streams::token_text).collect();
+        let doc = CompletionResponse {
+            id: &token_stream.attempt,
             object: "chat.completion",
-            model: &timed.model,
+            model: &token_stream.model,
             choices: [Choice {
                 index: 0,
                 message: Message { role: "assistant", content: words.concat() },
                 finish_reason: "stop",
             }],
-            usage: Usage { completion_tokens: timed.tokens },
+            usage: Usage { completion_tokens: token_stream.tokens },
         };
         if self.faults().truncate {
             use std::io::Write;
             stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n{\"half")?;
-            return cut(stream);
+            return close_connection(stream);
         }
         server::json(stream, after, 200, &doc)
     }
 
-    /// Writes the events of a stream after the first `skip`, each when it is due.
+    /// Writes the events of a stream except for the first `skip`, each at its due time.
     fn write_stream(
         &self,
-        timed: &Stream,
+        token_stream: &TokenStream,
         skip: u64,
         stream: &mut TcpStream,
         after: After,
@@ -372,21 +376,23 @@
             true,
             after,
         )?;
-        for at in skip..=timed.tokens {
-            thread::sleep(timed.due(at).saturating_sub(timed.began.elapsed()));
-            if self.streams.is_cancelled(&timed.attempt) {
-                return cut(stream);
+        for index in skip..=token_stream.tokens {
+            thread::sleep(
+                token_stream.due_after(index).saturating_sub(token_stream.started_at.elapsed()),
+            );
+            if self.streams.is_cancelled(&token_stream.attempt) {
+                return close_connection(stream);
             }
-            if cut_after > 0 && at >= cut_after && skip == 0 {
-                let event = timed.event(at);
+            if cut_after > 0 && index >= cut_after && skip == 0 {
+                let event = token_stream.event(index);
                 out.send(&event[..event.len() / 2])?;
-                return cut(stream);
+                return close_connection(stream);
             }
-            if faults.end_after_events > 0 && at >= faults.end_after_events {
+            if faults.end_after_events > 0 && index >= faults.end_after_events {
                 out.end();
                 return Ok(after);
             }
-            out.send(&timed.event(at))?;
+            out.send(&token_stream.event(index))?;
         }
         out.end();
         Ok(after)
@@ -394,18 +400,18 @@
 
     fn resume(&self, req: &Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
         let attempt = req.head.path.trim_start_matches("/v1/streams/");
-        let skip = server::query(req, "after").parse().unwrap_or(0);
+        let skip = server::query_param(req, "after").parse().unwrap_or(0);
         match self.streams.get(attempt) {
-            Some(timed) if !self.faults().forget_streams => {
-                let _running = self.models.begin_request(&timed.model);
-                self.write_stream(&timed, skip, stream, after)
+            Some(token_stream) if !self.faults().forget_streams => {
+                let _running = self.models.begin_request(&token_stream.model);
+                self.write_stream(&token_stream, skip, stream, after)
             }
             _ => server::json(stream, after, 404, &"no such stream"),
         }
     }
 }
 
-/// Bytes of a body that count as its prefix.
+/// The number of leading bytes of a body that make up its prefix.
 const PREFIX_BYTES: usize = 512;
 
 fn prefix_hash(body: &[u8]) -> u64 {
@@ -417,8 +423,8 @@
 impl Handler for EngineHandler {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
         let engine = &self.0;
-        if let Some(done) = server::faults(&req, stream, after, &engine.faults) {
-            return done;
+        if let Some(result) = server::handle_faults(&req, stream, after, &engine.faults) {
+            return result;
         }
         match req.head.path.as_str() {
             path if path.starts_with("/control/") => engine.control(&req, stream, after),
@@ -429,7 +435,7 @@
     }
 }
 
-fn cut(stream: &mut TcpStream) -> io::Result<After> {
+fn close_connection(stream: &mut TcpStream) -> io::Result<After> {
     stream.shutdown(Shutdown::Both)?;
     Ok(After::Close)
 }
@@ -438,7 +444,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr, options: EngineOptions) -> io::Result<(Running, Arc<Engine>)> {
     let engine = Arc::new(Engine::new(options));
     let running = server::start(address, Arc::new(EngineHandler(Arc::clone(&engine))))?;
--- a/crates/tansyknot-standins/src/engine/cache.rs
+++ b/crates/tansyknot-standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Cache events of an engine: which prompts' prefixes it holds, told late and with gaps.
+//! The prefix cache of an engine and its events, which are reported late and with gaps.
 
 use std::{
     collections::VecDeque,
@@ -8,81 +8,82 @@
 
 use serde::Serialize;
 
-/// Prefixes held; the oldest gives way.
-const HELD: usize = 64;
-/// Events kept for readers; older ones are a gap.
-const KEPT: usize = 256;
-/// One event in this many is never told.
-const GAP: u64 = 10;
+/// Maximum number of cached prefixes. The oldest is evicted.
+const MAX_PREFIXES: usize = 64;
+/// Maximum number of retained events. Readers see a gap for older ones.
+const MAX_EVENTS: usize = 256;
+/// Interval of events that are never reported: each time the sequence number is a multiple of it.
+const DROPPED_EVENT_INTERVAL: u64 = 10;
 
-/// What happened to a prefix.
+/// A change of the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It is held now.
+    /// The prefix was stored.
     Stored,
-    /// It is not held any more.
+    /// The prefix was evicted.
     Evicted,
 }
 
-/// One event.
+/// A cache event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CacheEvent {
-    /// Rises by one with each event, told or not, so that gaps show.
+    /// The sequence number. It increases by one with each event, reported or not, so that readers
+    /// can detect gaps.
     pub seq: u64,
-    /// What happened.
+    /// The change.
     pub change: Change,
-    /// A hash of the prefix.
+    /// The hash of the prefix.
     pub prefix: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    held: VecDeque<u64>,
+    prefixes: VecDeque<u64>,
     events: VecDeque<(Instant, CacheEvent)>,
-    next: u64,
+    last_seq: u64,
 }
 
-/// The prefixes that an engine holds.
+/// The prefix cache of an engine.
 #[derive(Debug, Default)]
 pub struct Cache {
     state: Mutex<State>,
 }
 
 impl State {
-    fn tell(&mut self, change: Change, prefix: u64) {
-        self.next += 1;
-        if self.next.is_multiple_of(GAP) {
+    fn record(&mut self, change: Change, prefix: u64) {
+        self.last_seq += 1;
+        if self.last_seq.is_multiple_of(DROPPED_EVENT_INTERVAL) {
             return;
         }
-        if self.events.len() == KEPT {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
-        let event = CacheEvent { seq: self.next, change, prefix };
+        let event = CacheEvent { seq: self.last_seq, change, prefix };
         self.events.push_back((Instant::now(), event));
     }
 }
 
 impl Cache {
-    /// Takes in that a prompt with this prefix was served.
+    /// Stores the prefix of a prompt that is served.
     pub fn store(&self, prefix: u64) {
         let mut state = self.state.lock().expect("no holder of the lock panics");
-        if state.held.contains(&prefix) {
+        if state.prefixes.contains(&prefix) {
             return;
         }
-        if state.held.len() == HELD
-            && let Some(oldest) = state.held.pop_front()
+        if state.prefixes.len() == MAX_PREFIXES
+            && let Some(oldest) = state.prefixes.pop_front()
         {
-            state.tell(Change::Evicted, oldest);
+            state.record(Change::Evicted, oldest);
         }
-        state.held.push_back(prefix);
-        state.tell(Change::Stored, prefix);
+        state.prefixes.push_back(prefix);
+        state.record(Change::Stored, prefix);
     }
 
     /// Returns the events after `seq` that are at least `lag` old.
     pub fn events(&self, seq: u64, lag: Duration) -> Vec<CacheEvent> {
         let state = self.state.lock().expect("no holder of the lock panics");
-        let old = state.events.iter().filter(|(at, _)| at.elapsed() >= lag);
-        old.map(|(_, e)| e.clone()).filter(|e| e.seq > seq).collect()
+        let visible = state.events.iter().filter(|(at, _)| at.elapsed() >= lag);
+        visible.map(|(_, e)| e.clone()).filter(|e| e.seq > seq).collect()
     }
 }
--- a/crates/tansyknot-standins/src/engine/models.rs
+++ b/crates/tansyknot-standins/src/engine/models.rs
@@ -12,30 +12,30 @@
     name::{self, AdapterName, Incarnation, ServiceName},
 };
 
-/// Adapters beside one model.
-const ADAPTERS: usize = 8;
+/// Maximum number of adapters beside one model.
+const MAX_ADAPTERS: usize = 8;
 
-/// Why an order was refused.
+/// The reason for which an order is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderError {
-    /// A later fencing token has been seen.
+    /// The engine has seen a later fencing token.
     StaleFence(Fence),
-    /// The memory is taken.
+    /// There is not enough free memory.
     OutOfMemory,
-    /// The model serves requests.
+    /// The model has requests in flight, or an adapter's model is not loaded.
     Busy,
 }
 
-/// The most that was ever there at once.
+/// Maximum values and counts since the engine started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Peaks {
-    /// Memory in use, in bytes.
+    /// The maximum memory in use, in bytes.
     pub used_bytes: u64,
-    /// Loads refused for memory.
+    /// The number of loads rejected for lack of memory.
     pub refused_loads: u64,
-    /// Loads begun.
+    /// The number of loads started.
     pub loads: u64,
-    /// Orders to remove a model that was serving requests.
+    /// The number of orders to remove a model with requests in flight.
     pub busy_unloads: u64,
 }
 
@@ -60,7 +60,7 @@
     state: Mutex<State>,
 }
 
-/// Counts a request for as long as it lives.
+/// A request in flight, counted until it is dropped.
 pub struct RunningRequest<'a> {
     models: &'a Models,
     service: ServiceName,
@@ -68,7 +68,7 @@
 
 impl Drop for RunningRequest<'_> {
     fn drop(&mut self) {
-        self.models.with(|state| {
+        self.models.with_state(|state| {
             if let Some(model) = state.models.get_mut(&self.service) {
                 model.report.in_flight = model.report.in_flight.saturating_sub(1);
             }
@@ -77,28 +77,28 @@
 }
 
 impl Models {
-    /// Makes an engine's memory without models.
+    /// Creates an engine's memory without models.
     pub fn new(memory_bytes: u64, fencing: Fencing) -> Self {
         let incarnation = Incarnation::new(name::random_id());
         Self { incarnation, memory_bytes, fencing, state: Mutex::default() }
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
+    fn with_state<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
         f(&mut self.state.lock().expect("no holder of the lock panics"))
     }
 
-    /// Returns where a checkpoint lies.
+    /// Returns the storage tier of a service's checkpoint.
     pub fn tier(&self, service: &ServiceName) -> Tier {
-        self.with(|state| state.cached.get(service).copied().unwrap_or(Tier::Remote))
+        self.with_state(|state| state.cached.get(service).copied().unwrap_or(Tier::Remote))
     }
 
-    /// Begins a load; `false` if the model is there or coming.
+    /// Starts a load. Returns `false` if the model is already loaded or loading.
     ///
     /// # Errors
     ///
-    /// Fails if the token is old or the memory is taken.
+    /// Fails if the fencing token is old or there is not enough free memory.
     pub fn begin_load(&self, order: &LoadOrder) -> Result<bool, OrderError> {
-        self.with(|state| {
+        self.with_state(|state| {
             self.check_fence(state, &order.service, order.fence)?;
             if let Some(model) = state.models.get_mut(&order.service) {
                 model.report.fence = order.fence;
@@ -124,9 +124,9 @@
         })
     }
 
-    /// Ends a load: the model serves, and its checkpoint stays on the host's disk.
+    /// Finishes a load: the model becomes ready and its checkpoint is cached on the host's disk.
     pub fn finish_load(&self, service: &ServiceName) {
-        self.with(|state| {
+        self.with_state(|state| {
             if let Some(model) = state.models.get_mut(service) {
                 model.report.state = ModelState::Ready;
             }
@@ -134,13 +134,13 @@
         });
     }
 
-    /// Removes a model, which may already be gone.
+    /// Removes a model. Succeeds if the model is not loaded.
     ///
     /// # Errors
     ///
-    /// Fails if the token is old or the model serves requests.
+    /// Fails if the fencing token is old or the model has requests in flight.
     pub fn unload(&self, order: &UnloadOrder) -> Result<(), OrderError> {
-        self.with(|state| {
+        self.with_state(|state| {
             self.check_fence(state, &order.service, order.fence)?;
             if state.models.get(&order.service).is_some_and(|m| m.report.in_flight > 0) {
                 state.peaks.busy_unloads += 1;
@@ -151,21 +151,21 @@
         })
     }
 
-    /// Loads an adapter beside its model, in place of the oldest if there are many.
+    /// Loads an adapter beside its model. Replaces the oldest adapter at the limit.
     ///
     /// # Errors
     ///
-    /// Fails if the model is not there.
+    /// Fails if the model is not loaded.
     pub fn load_adapter(
         &self,
         service: &ServiceName,
         adapter: &AdapterName,
     ) -> Result<(), OrderError> {
-        self.with(|state| {
+        self.with_state(|state| {
             let model = state.models.get_mut(service).ok_or(OrderError::Busy)?;
             let adapters = &mut model.report.adapters;
             if !adapters.contains(adapter) {
-                if adapters.len() == ADAPTERS {
+                if adapters.len() == MAX_ADAPTERS {
                     adapters.remove(0);
                 }
                 adapters.push(adapter.clone());
@@ -174,23 +174,23 @@
         })
     }
 
-    /// Counts a request for a ready model or an adapter beside one.
+    /// Starts a request to the ready model or adapter `name`. Returns `None` if there is none.
     pub fn begin_request(&self, name: &str) -> Option<RunningRequest<'_>> {
-        self.with(|state| {
+        self.with_state(|state| {
             let adapter = AdapterName::from(name);
             let model = state.models.values_mut().find(|m| {
-                let named = m.report.service.as_str() == name;
-                let adapted = m.report.adapters.contains(&adapter);
-                m.report.state == ModelState::Ready && (named || adapted)
+                let is_model = m.report.service.as_str() == name;
+                let has_adapter = m.report.adapters.contains(&adapter);
+                m.report.state == ModelState::Ready && (is_model || has_adapter)
             })?;
             model.report.in_flight += 1;
             Some(RunningRequest { models: self, service: model.report.service.clone() })
         })
     }
 
-    /// Returns the status as it is now.
+    /// Returns the current status.
     pub fn status(&self) -> EngineStatus {
-        self.with(|state| EngineStatus {
+        self.with_state(|state| EngineStatus {
             incarnation: self.incarnation.clone(),
             memory_bytes: self.memory_bytes,
             used_bytes: state.models.values().map(|m| m.memory_bytes).sum(),
@@ -203,14 +203,14 @@
         })
     }
 
-    /// Returns the requests of all models together.
+    /// Returns the number of requests in flight over all models.
     pub fn in_flight(&self) -> u32 {
-        self.with(|state| state.models.values().map(|m| m.report.in_flight).sum())
+        self.with_state(|state| state.models.values().map(|m| m.report.in_flight).sum())
     }
 
-    /// Returns the most that was ever there at once.
+    /// Returns the maximum values and counts since the engine started.
     pub fn peaks(&self) -> Peaks {
-        self.with(|state| state.peaks)
+        self.with_state(|state| state.peaks)
     }
 
     fn check_fence(
--- a/crates/tansyknot-standins/src/engine/streams.rs
+++ b/crates/tansyknot-standins/src/engine/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of tokens that come by the clock and can be resumed and cancelled.
+//! Streams of tokens that are sent on a fixed schedule and can be resumed and cancelled.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -6,44 +6,44 @@
     time::{Duration, Instant},
 };
 
-/// Streams kept for resuming.
-const KEPT: usize = 4096;
+/// Maximum number of streams retained for resuming. At the limit, all of them are dropped.
+const MAX_STREAMS: usize = 4096;
 
-/// One stream: which token is due when.
+/// A stream of tokens with the schedule of its events.
 #[derive(Clone, Debug)]
-pub struct Stream {
-    /// The attempt that it answers.
+pub struct TokenStream {
+    /// The identifier of the attempt.
     pub attempt: String,
-    /// The model that the caller named.
+    /// The name of the model in the request.
     pub model: String,
-    /// When it began.
-    pub began: Instant,
-    /// Time to the first token.
+    /// The start time.
+    pub started_at: Instant,
+    /// The time to the first token.
     pub first_token: Duration,
-    /// Time between tokens.
+    /// The time between tokens.
     pub token_gap: Duration,
-    /// Tokens in all.
+    /// The total number of tokens.
     pub tokens: u64,
 }
 
-/// Returns the text of a token.
-pub fn token(at: u64) -> String {
-    format!(" t{at}")
+/// Returns the text of the token at `index`.
+pub fn token_text(index: u64) -> String {
+    format!(" t{index}")
 }
 
-impl Stream {
-    /// Returns when the event at `at` is due after the beginning.
-    pub fn due(&self, at: u64) -> Duration {
-        let gaps = u32::try_from(at).unwrap_or(u32::MAX);
+impl TokenStream {
+    /// Returns the time from the start of the stream to the event at `index`.
+    pub fn due_after(&self, index: u64) -> Duration {
+        let gaps = u32::try_from(index).unwrap_or(u32::MAX);
         self.first_token + self.token_gap * gaps
     }
 
-    /// Returns the event at `at`; the one after the last token ends the stream.
-    pub fn event(&self, at: u64) -> Vec<u8> {
-        if at == self.tokens {
+    /// Returns the event at `index`. The event after the last token is the end marker.
+    pub fn event(&self, index: u64) -> Vec<u8> {
+        if index == self.tokens {
             return b"data: [DONE]\n\n".to_vec();
         }
-        let text = token(at);
+        let text = token_text(index);
         format!(
             "data: {{\"id\":\"{}\",\"object\":\"chat.completion.chunk\",\"model\":\"{}\",\
              \"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n",
@@ -53,35 +53,35 @@
     }
 }
 
-/// The latest streams.
+/// The latest streams of an engine.
 #[derive(Debug, Default)]
 pub struct Streams {
-    kept: Mutex<HashMap<String, Stream>>,
+    streams: Mutex<HashMap<String, TokenStream>>,
     cancelled: Mutex<HashSet<String>>,
 }
 
 impl Streams {
-    /// Keeps a stream for resuming.
-    pub fn keep(&self, stream: &Stream) {
-        let mut kept = self.kept.lock().expect("no holder of the lock panics");
-        if kept.len() >= KEPT {
-            kept.clear();
+    /// Retains a stream for resuming.
+    pub fn insert(&self, stream: &TokenStream) {
+        let mut streams = self.streams.lock().expect("no holder of the lock panics");
+        if streams.len() >= MAX_STREAMS {
+            streams.clear();
         }
-        kept.insert(stream.attempt.clone(), stream.clone());
+        streams.insert(stream.attempt.clone(), stream.clone());
     }
 
-    /// Returns a stream that is kept.
-    pub fn get(&self, attempt: &str) -> Option<Stream> {
-        self.kept.lock().expect("no holder of the lock panics").get(attempt).cloned()
+    /// Returns a retained stream.
+    pub fn get(&self, attempt: &str) -> Option<TokenStream> {
+        self.streams.lock().expect("no holder of the lock panics").get(attempt).cloned()
     }
 
-    /// Cancels a stream.
+    /// Cancels the stream of an attempt.
     pub fn cancel(&self, attempt: &str) {
         let mut cancelled = self.cancelled.lock().expect("no holder of the lock panics");
         cancelled.insert(attempt.to_owned());
     }
 
-    /// Tells whether a stream was cancelled.
+    /// Returns whether the stream of an attempt is cancelled.
     pub fn is_cancelled(&self, attempt: &str) -> bool {
         self.cancelled.lock().expect("no holder of the lock panics").contains(attempt)
     }
--- a/crates/tansyknot-standins/src/engine/turns.rs
+++ b/crates/tansyknot-standins/src/engine/turns.rs
@@ -1,66 +1,66 @@
-//! The turns of requests at a full engine: by priority, then by arrival.
+//! Permits that limit the concurrent requests of an engine, granted by priority and arrival.
 
 use std::{
     collections::BTreeSet,
     sync::{Condvar, Mutex},
 };
 
-/// A waiting request: its priority, lower first, and its place in the order of arrival.
-type Place = (u8, u64);
+/// The position of a waiting request: its priority, lower first, and its arrival number.
+type QueuePosition = (u8, u64);
 
 #[derive(Debug, Default)]
 struct State {
     running: usize,
     arrived: u64,
-    waiting: BTreeSet<Place>,
+    waiting: BTreeSet<QueuePosition>,
 }
 
-/// Lets so many requests run at once.
+/// A limit on concurrent requests with a priority queue of waiting ones.
 #[derive(Debug)]
-pub struct Turns {
-    at_once: usize,
+pub struct PermitQueue {
+    limit: usize,
     state: Mutex<State>,
     changed: Condvar,
 }
 
-/// A running request; dropping it gives the turn to the next.
-pub struct Turn<'a> {
-    turns: &'a Turns,
+/// Permission to run a request. Dropping it lets the next request run.
+pub struct Permit<'a> {
+    queue: &'a PermitQueue,
 }
 
-impl Turns {
-    /// Makes turns for `at_once` requests.
-    pub fn new(at_once: usize) -> Self {
-        Self { at_once, state: Mutex::default(), changed: Condvar::new() }
+impl PermitQueue {
+    /// Creates a queue with permits for `limit` requests at once.
+    pub fn new(limit: usize) -> Self {
+        Self { limit, state: Mutex::default(), changed: Condvar::new() }
     }
 
-    /// Waits for a turn.
-    pub fn take(&self, priority: u8) -> Turn<'_> {
+    /// Waits for a permit. A lower `priority` value goes first.
+    pub fn acquire(&self, priority: u8) -> Permit<'_> {
         let mut state = self.state.lock().expect("no holder of the lock panics");
         state.arrived += 1;
-        let place = (priority, state.arrived);
-        state.waiting.insert(place);
+        let position = (priority, state.arrived);
+        state.waiting.insert(position);
         let blocked =
-            |s: &mut State| s.running >= self.at_once || s.waiting.first() != Some(&place);
+            |s: &mut State| s.running >= self.limit || s.waiting.first() != Some(&position);
         let mut state =
             self.changed.wait_while(state, blocked).expect("no holder of the lock panics");
-        state.waiting.remove(&place);
+        state.waiting.remove(&position);
         state.running += 1;
         drop(state);
-        // The next in the order may have a turn as well.
+        // A permit may be free for the next request as well.
         self.changed.notify_all();
-        Turn { turns: self }
+        Permit { queue: self }
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.state.lock().expect("no holder of the lock panics").waiting.len()
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        self.turns.state.lock().expect("no holder of the lock panics").running -= 1;
-        self.turns.changed.notify_all();
+        self.queue.state.lock().expect("no holder of the lock panics").running -= 1;
+        self.queue.changed.notify_all();
     }
 }
--- a/crates/tansyknot-standins/src/fake.rs
+++ b/crates/tansyknot-standins/src/fake.rs
@@ -1,4 +1,4 @@
-//! Small fakes of the platform's interfaces, without sockets and without waits.
+//! In-process fakes of the platform's interfaces, without sockets and without delays.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -24,72 +24,73 @@
     table::TableState,
 };
 
-/// What happens to one commit.
+/// The fault of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitFault {
-    /// Nothing: it goes through.
+    /// No fault: the commit is executed.
     None,
-    /// It takes effect and its reply is lost.
+    /// The commit takes effect and the reply is lost.
     LostReply,
-    /// It is lost before it takes effect, and the caller can't tell.
+    /// The request is lost before it takes effect. The caller can't distinguish this from a lost
+    /// reply.
     LostRequest,
-    /// The table can't be reached.
+    /// The table is unreachable.
     Unreachable,
 }
 
-/// What another process does between a daemon's reads and its next commit.
+/// An action of another process between a daemon's reads and its next commit.
 pub type BeforeCommit = Box<dyn FnOnce() + Send>;
 
-/// A fake of the table service. Clones share the rows but have faults of their own, as
-/// daemons with paths of their own to the table have.
+/// A connection to a fake of the table service. Clones share rows and faults. A connection from
+/// [`FakeTable::another_path`] shares only the rows, like a daemon with its own network path.
 #[derive(Clone, Default)]
 pub struct FakeTable {
-    /// The rows.
+    /// The rows, shared by all connections.
     pub state: Arc<TableState>,
     down: Arc<AtomicBool>,
-    commits: Arc<Mutex<VecDeque<CommitFault>>>,
+    commit_faults: Arc<Mutex<VecDeque<CommitFault>>>,
     before_commit: Arc<Mutex<Option<BeforeCommit>>>,
 }
 
 impl FakeTable {
-    /// Makes a path to the rows of a table that may also have a server.
+    /// Creates a connection to the rows of a table, which may also have a server.
     #[must_use]
     pub fn over(state: &Arc<TableState>) -> Self {
         Self { state: Arc::clone(state), ..Self::default() }
     }
 
-    /// Makes another path to the same rows.
+    /// Creates another connection to the same rows, with its own faults.
     #[must_use]
     pub fn another_path(&self) -> Self {
         Self::over(&self.state)
     }
 
-    /// Cuts this path or mends it.
+    /// Makes the table unreachable over this connection, or reachable again.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
     }
 
-    /// Scripts what happens to the next commits on this path.
+    /// Sets the faults of the next commits on this connection.
     pub fn script(&self, faults: impl IntoIterator<Item = CommitFault>) {
-        self.commits.lock().expect("no holder of the lock panics").extend(faults);
+        self.commit_faults.lock().expect("no holder of the lock panics").extend(faults);
     }
 
-    /// Has reads answer from the state of this many commits ago.
+    /// Makes reads return the state of this many commits ago.
     pub fn set_stale(&self, commits: usize) {
         self.state.faults.lock().expect("no holder of the lock panics").stale_commits = commits;
     }
 
-    /// Has `f` run before the next commit on this path, after the daemon has read.
+    /// Sets an action to run before the next commit on this connection, after the daemon's reads.
     pub fn set_before_commit(&self, f: BeforeCommit) {
         *self.before_commit.lock().expect("no holder of the lock panics") = Some(f);
     }
 
-    /// Forgets what was to run before the next commit.
+    /// Removes the action that would run before the next commit.
     pub fn clear_before_commit(&self) {
         *self.before_commit.lock().expect("no holder of the lock panics") = None;
     }
 
-    fn check_up(&self) -> Result<()> {
+    fn check_reachable(&self) -> Result<()> {
         if self.down.load(Ordering::SeqCst) {
             return Err(Error::unreachable("table", "down"));
         }
@@ -103,22 +104,22 @@
 
 impl Table for FakeTable {
     fn read(&self, key: &str) -> Result<Option<Row>> {
-        self.check_up()?;
+        self.check_reachable()?;
         Ok(self.state.read(|rows| rows.get(key).cloned()))
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>> {
-        self.check_up()?;
+        self.check_reachable()?;
         Ok(self.state.scan(prefix, after, limit))
     }
 
     fn commit(&self, txn: &Transaction) -> Result<()> {
-        self.check_up()?;
+        self.check_reachable()?;
         let before = self.before_commit.lock().expect("no holder of the lock panics").take();
         if let Some(before) = before {
             before();
         }
-        let fault = self.commits.lock().expect("no holder of the lock panics").pop_front();
+        let fault = self.commit_faults.lock().expect("no holder of the lock panics").pop_front();
         match fault.unwrap_or(CommitFault::None) {
             CommitFault::None => self.apply(txn),
             CommitFault::LostReply => {
@@ -131,27 +132,27 @@
     }
 }
 
-/// The most that engines ever had at once, counted after each order.
+/// Maximum values over the engines, updated after each load order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Observed {
-    /// Models of one service on all engines.
+pub struct ObservedMaxima {
+    /// The number of models of a service on all engines.
     pub replicas: BTreeMap<ServiceName, usize>,
-    /// Memory in use on one engine, in bytes.
+    /// The memory in use on an engine, in bytes.
     pub used_bytes: BTreeMap<TargetName, u64>,
 }
 
-/// A load order that is still on its way.
+/// A load order that is held back before delivery.
 struct HeldOrder {
     target: TargetName,
     order: LoadOrder,
     sent: Time,
 }
 
-/// Fakes of model engines. Loads finish when a test says so.
+/// Fakes of model engines. Loads finish when the test calls [`FakeEngines::finish_loads`].
 #[derive(Default)]
 pub struct FakeEngines {
     engines: Mutex<BTreeMap<TargetName, Arc<Models>>>,
-    observed: Mutex<Observed>,
+    observed: Mutex<ObservedMaxima>,
     held: Mutex<Vec<HeldOrder>>,
     clock: OnceLock<ManualClock>,
     hold: AtomicBool,
@@ -160,31 +161,31 @@
 }
 
 impl FakeEngines {
-    /// Adds an engine, in place of one of the same name: a restarted one has no models.
+    /// Adds an engine. It replaces one of the same name, like a restarted engine without models.
     pub fn add(&self, target: &TargetName, memory_bytes: u64, fencing: Fencing) {
         let models = Arc::new(Models::new(memory_bytes, fencing));
         self.engines.lock().expect("no holder of the lock panics").insert(target.clone(), models);
     }
 
-    /// Has load orders held on their way, as those of a holder that was frozen while it sent.
+    /// Holds load orders back, like those of a lease holder that is paused while it sends them.
     pub fn hold_loads(&self, hold: bool) {
         self.hold.store(hold, Ordering::SeqCst);
     }
 
-    /// Delivers the held orders; returns what the engines answered.
+    /// Delivers the held orders and returns the replies of the engines.
     pub fn deliver_held(&self) -> Vec<Result<()>> {
         let held: Vec<_> =
             self.held.lock().expect("no holder of the lock panics").drain(..).collect();
         held.into_iter().map(|h| self.begin_load(&h.target, &h.order)).collect()
     }
 
-    /// Sets the clock by which held orders grow old.
+    /// Sets the clock for the age of held orders.
     pub fn set_clock(&self, clock: ManualClock) {
-        // A test sets it once; a second call would change nothing.
+        // A test sets the clock once. Further calls have no effect.
         let _ = self.clock.set(clock);
     }
 
-    /// Drops held orders that were sent more than `lifetime` ago, as their connections are.
+    /// Drops held orders that were sent at least `lifetime` ago, as their connections are closed.
     pub fn drop_old_orders(&self, lifetime: Duration) {
         let now = self.now();
         let mut held = self.held.lock().expect("no holder of the lock panics");
@@ -195,21 +196,21 @@
         self.clock.get().map(Clock::now).unwrap_or_default()
     }
 
-    /// Has orders take effect while their replies are lost.
+    /// Makes orders take effect while their replies are lost.
     pub fn lose_replies(&self, lose: bool) {
         self.lose_replies.store(lose, Ordering::SeqCst);
     }
 
-    /// Has an engine answer nothing, or answer again.
+    /// Makes an engine unresponsive, or responsive again.
     pub fn set_silent(&self, target: &TargetName, silent: bool) {
-        let mut all = self.silent.lock().expect("no holder of the lock panics");
-        all.retain(|t| t != target);
+        let mut silent_targets = self.silent.lock().expect("no holder of the lock panics");
+        silent_targets.retain(|t| t != target);
         if silent {
-            all.push(target.clone());
+            silent_targets.push(target.clone());
         }
     }
 
-    /// Finishes every load that has begun.
+    /// Finishes every load in progress.
     pub fn finish_loads(&self) {
         for models in self.all() {
             for model in models.status().models {
@@ -224,19 +225,19 @@
     ///
     /// # Panics
     ///
-    /// Panics if there is no such engine.
+    /// Panics if there is no engine of this name.
     pub fn models(&self, target: &TargetName) -> Arc<Models> {
         let engines = self.engines.lock().expect("no holder of the lock panics");
         Arc::clone(engines.get(target).expect("the test has added the engine"))
     }
 
-    /// Returns how many engines have the model of a service in any state.
+    /// Returns the number of engines that have the model of a service in any state.
     pub fn loaded(&self, service: &ServiceName) -> usize {
         self.all().iter().filter(|m| m.status().model(service).is_some()).count()
     }
 
-    /// Returns the most that was ever there at once.
-    pub fn observed(&self) -> Observed {
+    /// Returns the maximum values over the engines.
+    pub fn observed(&self) -> ObservedMaxima {
         self.observed.lock().expect("no holder of the lock panics").clone()
     }
 
@@ -245,10 +246,10 @@
         engines.values().cloned().collect()
     }
 
-    fn reach(&self, target: &Target) -> Result<Arc<Models>> {
+    fn connect(&self, target: &Target) -> Result<Arc<Models>> {
         let silent = self.silent.lock().expect("no holder of the lock panics");
         if silent.contains(&target.name) {
-            return Err(Error::unknown("engine", "no answer"));
+            return Err(Error::unknown("engine", "no reply"));
         }
         drop(silent);
         let engines = self.engines.lock().expect("no holder of the lock panics");
@@ -267,10 +268,10 @@
         let replicas = self.loaded(service);
         let used = models.status().used_bytes;
         let mut observed = self.observed.lock().expect("no holder of the lock panics");
-        let most = observed.replicas.entry(service.clone()).or_default();
-        *most = (*most).max(replicas);
-        let most = observed.used_bytes.entry(target.clone()).or_default();
-        *most = (*most).max(used);
+        let max = observed.replicas.entry(service.clone()).or_default();
+        *max = (*max).max(replicas);
+        let max = observed.used_bytes.entry(target.clone()).or_default();
+        *max = (*max).max(used);
     }
 
     fn reply(&self, result: Result<()>) -> Result<()> {
@@ -291,23 +292,23 @@
 
 impl Engine for FakeEngines {
     fn status(&self, target: &Target) -> Result<EngineStatus> {
-        Ok(self.reach(target)?.status())
+        Ok(self.connect(target)?.status())
     }
 
     fn load(&self, target: &Target, order: &LoadOrder) -> Result<()> {
-        self.reach(target)?;
+        self.connect(target)?;
         if self.hold.load(Ordering::SeqCst) {
             let mut held = self.held.lock().expect("no holder of the lock panics");
             let (target, order) = (target.name.clone(), order.clone());
             held.push(HeldOrder { target, order, sent: self.now() });
-            return Err(Error::unknown("engine", "the sender is frozen"));
+            return Err(Error::unknown("engine", "the order is held back"));
         }
         let result = self.begin_load(&target.name, order);
         self.reply(result)
     }
 
     fn unload(&self, target: &Target, order: &UnloadOrder) -> Result<()> {
-        let result = self.reach(target)?.unload(order).map_err(order_error);
+        let result = self.connect(target)?.unload(order).map_err(order_error);
         self.reply(result)
     }
 
@@ -317,18 +318,18 @@
         service: &ServiceName,
         adapter: &AdapterName,
     ) -> Result<()> {
-        self.reach(target)?.load_adapter(service, adapter).map_err(order_error)
+        self.connect(target)?.load_adapter(service, adapter).map_err(order_error)
     }
 
     fn cancel(&self, target: &Target, _: &AttemptId) -> Result<()> {
-        self.reach(target).map(drop)
+        self.connect(target).map(drop)
     }
 }
 
 /// A fake of the list of hosts.
 #[derive(Default)]
 pub struct FakeHosts {
-    /// The list.
+    /// The state of the list.
     pub state: HostsState,
 }
 
--- a/crates/tansyknot-standins/src/hosts.rs
+++ b/crates/tansyknot-standins/src/hosts.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's list of hosts.
+//! A stand-in for the platform's list of hosts.
 
 use std::{
     io,
@@ -19,13 +19,13 @@
 
 use crate::server::{self, Running};
 
-/// Faults of the list.
+/// Faults that the list can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostsFaults {
-    /// The list does not answer.
+    /// The list responds with an error.
     pub down: bool,
-    /// A change shows this much later.
+    /// The delay in milliseconds after which a change becomes visible.
     pub lag_ms: u64,
 }
 
@@ -34,16 +34,16 @@
     targets: Vec<Target>,
 }
 
-/// The list.
+/// The state of the list of hosts.
 #[derive(Default)]
 pub struct HostsState {
     changes: Mutex<Vec<Change>>,
-    /// The faults that are switched on.
+    /// The enabled faults.
     pub faults: Mutex<HostsFaults>,
 }
 
 #[derive(Deserialize)]
-struct Marking {
+struct MarkRequest {
     target: TargetName,
     state: Option<HostState>,
 }
@@ -55,7 +55,7 @@
         changes.push(Change { at: Instant::now(), targets });
     }
 
-    /// Marks a target, or removes it from the list if `state` is `None`.
+    /// Sets the state of a target, or removes the target from the list if `state` is `None`.
     pub fn mark(&self, name: &TargetName, state: Option<HostState>) {
         let mut changes = self.changes.lock().expect("no holder of the lock panics");
         let mut targets = changes.last().map(|c| c.targets.clone()).unwrap_or_default();
@@ -68,8 +68,8 @@
         changes.push(Change { at: Instant::now(), targets });
     }
 
-    /// Answers with the list, or that it is still the one with the caller's `ETag`.
-    fn answer_list(
+    /// Responds with the list, or with status 304 if the client has the list with the same `ETag`.
+    fn respond_with_list(
         &self,
         req: &Request,
         stream: &mut TcpStream,
@@ -77,44 +77,44 @@
     ) -> io::Result<After> {
         let body = serde_json::to_vec(&self.list())?;
         let etag = format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(&body));
-        let same = req.head.header("if-none-match") == Some(etag.as_str());
-        let answer = Whole {
-            status: if same { 304 } else { 200 },
+        let is_unchanged = req.head.header("if-none-match") == Some(etag.as_str());
+        let response = Whole {
+            status: if is_unchanged { 304 } else { 200 },
             content_type: "application/json".to_owned(),
             headers: vec![("etag".to_owned(), etag)],
-            body: if same { Vec::new() } else { body },
+            body: if is_unchanged { Vec::new() } else { body },
         };
-        respond::write_whole(stream, &answer, after)?;
+        respond::write_whole(stream, &response, after)?;
         Ok(after)
     }
 
-    /// Returns the list as it shows now.
+    /// Returns the list that is visible now.
     pub fn list(&self) -> Vec<Target> {
         let lag = self.faults.lock().expect("no holder of the lock panics").lag_ms;
         let lag = Duration::from_millis(lag);
         let changes = self.changes.lock().expect("no holder of the lock panics");
-        let shown = changes.iter().rev().find(|c| c.at.elapsed() >= lag).or(changes.first());
-        shown.map(|c| c.targets.clone()).unwrap_or_default()
+        let visible = changes.iter().rev().find(|c| c.at.elapsed() >= lag).or(changes.first());
+        visible.map(|c| c.targets.clone()).unwrap_or_default()
     }
 }
 
 impl Handler for HostsState {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
-        if let Some(done) = server::faults(&req, stream, after, &self.faults) {
-            return done;
+        if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
+            return result;
         }
         if self.faults.lock().expect("no holder of the lock panics").down {
             return server::json(stream, after, 503, &"down");
         }
         match (req.head.method.as_str(), req.head.path.as_str()) {
-            ("GET", "/hosts") => self.answer_list(&req, stream, after),
+            ("GET", "/hosts") => self.respond_with_list(&req, stream, after),
             ("POST", "/hosts") => {
-                self.set(server::parse(&req)?);
+                self.set(server::parse_body(&req)?);
                 server::json(stream, after, 200, &())
             }
             ("POST", "/mark") => {
-                let marking: Marking = server::parse(&req)?;
-                self.mark(&marking.target, marking.state);
+                let request: MarkRequest = server::parse_body(&req)?;
+                self.mark(&request.target, request.state);
                 server::json(stream, after, 200, &())
             }
             _ => server::json(stream, after, 404, &"no such page"),
@@ -122,11 +122,11 @@
     }
 }
 
-/// Starts a list on `address`.
+/// Starts a list of hosts on `address`.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<HostsState>)> {
     let state = Arc::new(HostsState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
--- a/crates/tansyknot-standins/src/lib.rs
+++ b/crates/tansyknot-standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins of outside systems for tests, the demonstration and benchmarks.
+//! Simple stand-ins for external systems, for tests, the demonstration and benchmarks.
 //!
-//! Each speaks HTTP and JSON on a port of its own. `GET /faults` shows the faults that are
-//! switched on, `POST /faults` replaces them.
+//! Each stand-in serves HTTP with JSON on its own port. `GET /faults` returns the enabled faults,
+//! `POST /faults` replaces them. [`fake`] has in-process fakes without sockets.
 
 pub mod engine;
 pub mod fake;
--- a/crates/tansyknot-standins/src/plain.rs
+++ b/crates/tansyknot-standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service that counts each call it ran.
+//! A stand-in for a plain service that counts the executions of each request body.
 
 use std::{
     collections::BTreeMap,
@@ -17,28 +17,28 @@
 
 use crate::server::{self, Running};
 
-/// Faults of the service.
+/// Faults that the service can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFaults {
-    /// A call takes this long.
+    /// The duration of a call, in milliseconds.
     pub slow_ms: u64,
-    /// Calls wait until this is switched off.
+    /// Calls block while this is set.
     pub hold: bool,
-    /// The answer is cut off after the call has run.
+    /// The connection is closed without a response after the call has been executed.
     pub cut_answers: bool,
 }
 
-/// The service.
+/// The state of a plain service.
 #[derive(Default)]
 pub struct PlainState {
     runs: Mutex<BTreeMap<String, u64>>,
-    /// The faults that are switched on.
+    /// The enabled faults.
     pub faults: Mutex<PlainFaults>,
 }
 
 #[derive(Serialize)]
-struct Ran<'a> {
+struct CallReport<'a> {
     path: &'a str,
     caller: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -47,7 +47,7 @@
 }
 
 impl PlainState {
-    /// Returns how often a call with this body was run.
+    /// Returns how often a call with this body was executed.
     pub fn runs(&self, body: &str) -> u64 {
         self.runs.lock().expect("no holder of the lock panics").get(body).copied().unwrap_or(0)
     }
@@ -55,8 +55,8 @@
 
 impl Handler for PlainState {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
-        if let Some(done) = server::faults(&req, stream, after, &self.faults) {
-            return done;
+        if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
+            return result;
         }
         if req.head.path == "/runs" {
             let runs = self.runs.lock().expect("no holder of the lock panics").clone();
@@ -80,16 +80,16 @@
         }
         let caller = req.head.header("x-caller");
         let traceparent = req.head.header("traceparent");
-        let ran = Ran { path: &req.head.path, caller, traceparent, runs };
-        server::json(stream, after, 200, &ran)
+        let report = CallReport { path: &req.head.path, caller, traceparent, runs };
+        server::json(stream, after, 200, &report)
     }
 }
 
-/// Starts a service on `address`.
+/// Starts a plain service on `address`.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<PlainState>)> {
     let state = Arc::new(PlainState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
--- a/crates/tansyknot-standins/src/server.rs
+++ b/crates/tansyknot-standins/src/server.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a server on a port, JSON answers and a page for faults.
+//! The HTTP server that the stand-ins share, with JSON responses and a page for faults.
 
 use std::{
     io,
@@ -14,19 +14,19 @@
     server::{self, Handler, KeptConnections, Lifecycle, Request, ServerOptions},
 };
 
-/// A stand-in that runs in threads of this process.
+/// A server of a stand-in, which runs in threads of this process and stops when dropped.
 pub struct Running {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
     lifecycle: Arc<Lifecycle>,
 }
 
 impl Running {
-    /// Stops taking connections and requests.
+    /// Stops accepting connections and requests.
     pub fn stop(&self) {
         self.lifecycle.drain();
         self.lifecycle.close();
-        // The accept loop looks at the lifecycle after each connection.
+        // The accept loop checks the lifecycle after each connection, so a connection wakes it.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -37,11 +37,11 @@
     }
 }
 
-/// Starts a server; port 0 takes any free one.
+/// Starts a server on `address`. Port 0 selects a free port.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Running> {
     let listener = TcpListener::bind(address)?;
     let address = listener.local_addr()?;
@@ -55,49 +55,49 @@
         write_timeout: Duration::from_secs(10),
         kept: KeptConnections::ClosedWhileDraining,
     };
-    let served = Arc::clone(&lifecycle);
-    thread::spawn(move || server::serve(&listener, &options, &handler, &served));
+    let server_lifecycle = Arc::clone(&lifecycle);
+    thread::spawn(move || server::serve(&listener, &options, &handler, &server_lifecycle));
     Ok(Running { address, lifecycle })
 }
 
-/// Answers with a JSON document.
+/// Responds with a JSON document.
 ///
 /// # Errors
 ///
-/// Fails if the other side has left.
+/// Fails if the client has disconnected.
 pub fn json<T: Serialize>(
     stream: &mut TcpStream,
     after: After,
     status: u16,
     doc: &T,
 ) -> io::Result<After> {
-    let answer = Whole {
+    let response = Whole {
         status,
         content_type: "application/json".to_owned(),
         headers: Vec::new(),
         body: serde_json::to_vec(doc)?,
     };
-    respond::write_whole(stream, &answer, after)?;
+    respond::write_whole(stream, &response, after)?;
     Ok(after)
 }
 
-/// Parses a request's body.
+/// Parses the JSON body of a request.
 ///
 /// # Errors
 ///
-/// Fails if it is not the document that is expected.
-pub fn parse<T: DeserializeOwned>(req: &Request) -> io::Result<T> {
+/// Fails if the body is not a document of type `T`.
+pub fn parse_body<T: DeserializeOwned>(req: &Request) -> io::Result<T> {
     serde_json::from_slice(&req.body).map_err(io::Error::from)
 }
 
-/// Returns the value of a query parameter, with `%XX` and `+` decoded.
-pub fn query(req: &Request, name: &str) -> String {
+/// Returns the value of a query parameter with `%XX` and `+` decoded, or an empty string.
+pub fn query_param(req: &Request, name: &str) -> String {
     let pairs = req.head.query.split('&').filter_map(|pair| pair.split_once('='));
     let value = pairs.into_iter().find(|(n, _)| *n == name).map(|(_, v)| v);
-    value.map(decode).unwrap_or_default()
+    value.map(percent_decode).unwrap_or_default()
 }
 
-fn decode(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
     while let Some(b) = bytes.next() {
@@ -113,8 +113,8 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Serves the page of faults; `None` if the request is for something else.
-pub fn faults<T: Serialize + DeserializeOwned + Clone>(
+/// Serves the page of faults. Returns `None` if the request is for another page.
+pub fn handle_faults<T: Serialize + DeserializeOwned + Clone>(
     req: &Request,
     stream: &mut TcpStream,
     after: After,
@@ -124,7 +124,7 @@
         return None;
     }
     if req.head.method == "POST" {
-        match parse(req) {
+        match parse_body(req) {
             Ok(new) => *faults.lock().expect("no holder of the lock panics") = new,
             Err(e) => return Some(json(stream, after, 400, &e.to_string())),
         }
--- a/crates/tansyknot-standins/src/table.rs
+++ b/crates/tansyknot-standins/src/table.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the transactional table service.
+//! A stand-in for the transactional table service.
 
 use std::{
     collections::BTreeMap,
@@ -21,30 +21,30 @@
 
 use crate::server::{self, Running};
 
-/// Faults of the table.
+/// Faults that the table can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TableFaults {
-    /// Every call is cut off without an answer and without effect.
+    /// The connection of every call is closed without a response and without effect.
     pub down: bool,
-    /// Every call waits this long first.
+    /// The delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// The replies of this many commits are cut off after the write took effect.
+    /// The number of commits whose connection is closed after the write has taken effect.
     pub lose_replies: u32,
-    /// Reads and scans answer from the state of this many commits ago.
+    /// Reads and scans return the state of this many commits ago.
     pub stale_commits: usize,
 }
 
-/// Calls that the table has answered.
+/// Counts of the calls that the table has served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Reads and scans.
+    /// The number of reads and scans.
     pub reads: u64,
-    /// Rows returned by reads and scans.
+    /// The number of rows returned by scans.
     pub rows: u64,
-    /// Commits, whether or not they took effect.
+    /// The number of commits, whether or not they took effect.
     pub commits: u64,
-    /// Commits whose conditions did not hold.
+    /// The number of commits whose conditions did not hold.
     pub conflicts: u64,
 }
 
@@ -54,14 +54,14 @@
 struct State {
     rows: Rows,
     revision: u64,
-    past: Vec<Rows>,
+    past_rows: Vec<Rows>,
 }
 
-/// The table's rows and faults; also usable without a server.
+/// The rows and faults of a table. It can be used without a server.
 #[derive(Default)]
 pub struct TableState {
     state: Mutex<State>,
-    /// The faults that are switched on.
+    /// The enabled faults.
     pub faults: Mutex<TableFaults>,
     reads: AtomicU64,
     read_rows: AtomicU64,
@@ -69,8 +69,8 @@
     conflicts: AtomicU64,
 }
 
-/// States kept for stale reads.
-const PAST: usize = 16;
+/// Maximum number of past states retained for stale reads.
+const MAX_PAST_STATES: usize = 16;
 
 #[derive(Serialize)]
 struct Conflict<'a> {
@@ -78,14 +78,14 @@
 }
 
 impl TableState {
-    /// Makes the writes if the conditions hold.
+    /// Applies the writes of a transaction if its conditions hold.
     ///
     /// # Errors
     ///
-    /// Fails with the first key whose condition does not hold.
+    /// Returns the first key whose condition does not hold.
     pub fn commit(&self, txn: &Transaction) -> Result<(), String> {
         self.commits.fetch_add(1, Ordering::Relaxed);
-        let keep_past = self.faults().stale_commits > 0;
+        let retain_past = self.faults().stale_commits > 0;
         let mut state = self.state.lock().expect("no holder of the lock panics");
         for condition in &txn.conditions {
             let version = state.rows.get(&condition.key).map_or(ABSENT, |row| row.version);
@@ -94,14 +94,15 @@
                 return Err(condition.key.clone());
             }
         }
-        if keep_past {
-            let past = state.rows.clone();
-            state.past.push(past);
-            if state.past.len() > PAST {
-                state.past.remove(0);
+        if retain_past {
+            let rows = state.rows.clone();
+            state.past_rows.push(rows);
+            if state.past_rows.len() > MAX_PAST_STATES {
+                state.past_rows.remove(0);
             }
         }
-        // One revision for the whole table: a row that is deleted and made again still rises.
+        // The table has one revision for all rows, so that the version of a row that is deleted and
+        // created again still increases.
         state.revision += 1;
         let version = state.revision;
         for write in &txn.writes {
@@ -116,21 +117,22 @@
         Ok(())
     }
 
-    /// Runs `f` on the rows that a read sees.
+    /// Runs `f` on the rows that are visible to a read.
     pub fn read<T>(&self, f: impl FnOnce(&Rows) -> T) -> T {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        let back = self.faults().stale_commits;
+        let stale_commits = self.faults().stale_commits;
         let state = self.state.lock().expect("no holder of the lock panics");
-        let stale = state.past.len().checked_sub(back).and_then(|at| state.past.get(at));
+        let stale =
+            state.past_rows.len().checked_sub(stale_commits).and_then(|at| state.past_rows.get(at));
         f(stale.unwrap_or(&state.rows))
     }
 
-    /// Returns the faults that are switched on.
+    /// Returns the enabled faults.
     pub fn faults(&self) -> TableFaults {
         self.faults.lock().expect("no holder of the lock panics").clone()
     }
 
-    /// Returns what has been answered.
+    /// Returns the counts of served calls.
     pub fn counts(&self) -> Counts {
         Counts {
             reads: self.reads.load(Ordering::Relaxed),
@@ -140,15 +142,15 @@
         }
     }
 
-    /// Takes one lost reply, if any is left.
+    /// Uses up one lost reply. Returns whether there was one left.
     pub fn take_lost_reply(&self) -> bool {
         let mut faults = self.faults.lock().expect("no holder of the lock panics");
-        let lost = faults.lose_replies > 0;
+        let is_lost = faults.lose_replies > 0;
         faults.lose_replies = faults.lose_replies.saturating_sub(1);
-        lost
+        is_lost
     }
 
-    /// Returns up to `limit` rows with a prefix after a key.
+    /// Returns up to `limit` rows whose keys start with `prefix` and sort after `after`.
     pub fn scan(&self, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let rows: Vec<Row> = self.read(|rows| {
             let from = if after > prefix { after } else { prefix };
@@ -164,22 +166,28 @@
         rows
     }
 
-    fn answer(&self, req: &Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle_call(
+        &self,
+        req: &Request,
+        stream: &mut TcpStream,
+        after: After,
+    ) -> io::Result<After> {
         match req.head.path.as_str() {
             "/row" => {
-                let key = server::query(req, "key");
+                let key = server::query_param(req, "key");
                 match self.read(|rows| rows.get(&key).cloned()) {
                     Some(row) => server::json(stream, after, 200, &row),
                     None => server::json(stream, after, 404, &"no such row"),
                 }
             }
             "/rows" => {
-                let (prefix, start) = (server::query(req, "prefix"), server::query(req, "after"));
-                let limit = server::query(req, "limit").parse().unwrap_or(100);
+                let (prefix, start) =
+                    (server::query_param(req, "prefix"), server::query_param(req, "after"));
+                let limit = server::query_param(req, "limit").parse().unwrap_or(100);
                 server::json(stream, after, 200, &self.scan(&prefix, &start, limit))
             }
-            "/commit" => match self.commit(&server::parse(req)?) {
-                Ok(()) if self.take_lost_reply() => cut(stream),
+            "/commit" => match self.commit(&server::parse_body(req)?) {
+                Ok(()) if self.take_lost_reply() => close_connection(stream),
                 Ok(()) => server::json(stream, after, 200, &()),
                 Err(key) => server::json(stream, after, 409, &Conflict { key: &key }),
             },
@@ -191,19 +199,19 @@
 
 impl Handler for TableState {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
-        if let Some(done) = server::faults(&req, stream, after, &self.faults) {
-            return done;
+        if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
+            return result;
         }
         let faults = self.faults();
         thread::sleep(Duration::from_millis(faults.slow_ms));
         if faults.down {
-            return cut(stream);
+            return close_connection(stream);
         }
-        self.answer(&req, stream, after)
+        self.handle_call(&req, stream, after)
     }
 }
 
-fn cut(stream: &mut TcpStream) -> io::Result<After> {
+fn close_connection(stream: &mut TcpStream) -> io::Result<After> {
     stream.shutdown(Shutdown::Both)?;
     Ok(After::Close)
 }
@@ -212,7 +220,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<TableState>)> {
     let state = Arc::new(TableState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
--- a/crates/tansyknot-standins/src/weights.rs
+++ b/crates/tansyknot-standins/src/weights.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the weight store: about three loads a second, four at once at full speed.
+//! A stand-in for the weight store. It starts up to three loads per second, and up to four
+//! concurrent loads run at full speed.
 
 use std::{
     io,
@@ -16,29 +17,29 @@
 
 use crate::server::{self, Running};
 
-/// Loads at once that run at full speed.
-const FULL_SPEED: u32 = 4;
+/// Number of concurrent loads that run at full speed.
+const MAX_FULL_SPEED_LOADS: u32 = 4;
 
-/// Faults of the store.
+/// Faults that the weight store can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightFaults {
-    /// Every load takes this many times as long; zero counts as one.
+    /// The factor by which every load takes longer. Zero counts as one.
     pub slow_factor: u32,
 }
 
-/// The store.
+/// The state of a weight store.
 pub struct WeightState {
     load_ms: u64,
     loads_per_s: u32,
     next_start: Mutex<Option<Instant>>,
     running: Mutex<u32>,
-    /// The faults that are switched on.
+    /// The enabled faults.
     pub faults: Mutex<WeightFaults>,
 }
 
 impl WeightState {
-    /// Makes a store whose loads take `load_ms` at full speed.
+    /// Creates a store whose loads take `load_ms` at full speed.
     pub fn new(load_ms: u64, loads_per_s: u32) -> Self {
         Self {
             load_ms,
@@ -49,48 +50,49 @@
         }
     }
 
-    /// Waits for the turn of a load.
-    fn await_turn(&self) {
+    /// Waits until the rate limit allows the load to start.
+    fn wait_for_start(&self) {
         let wait = {
             let mut next = self.next_start.lock().expect("no holder of the lock panics");
             let now = Instant::now();
-            let turn = next.unwrap_or(now).max(now);
-            *next = Some(turn + Duration::from_secs(1) / self.loads_per_s);
-            turn.saturating_duration_since(now)
+            let start = next.unwrap_or(now).max(now);
+            *next = Some(start + Duration::from_secs(1) / self.loads_per_s);
+            start.saturating_duration_since(now)
         };
         thread::sleep(wait);
     }
 
-    /// Takes as long as a load does with what else is running.
+    /// Blocks for the duration of a load, which depends on the number of concurrent loads.
     pub fn load(&self) {
-        self.await_turn();
-        let at_once = {
+        self.wait_for_start();
+        let concurrent = {
             let mut running = self.running.lock().expect("no holder of the lock panics");
             *running += 1;
             *running
         };
-        let factor = self.faults.lock().expect("no holder of the lock panics").slow_factor.max(1);
-        let share = u64::from(at_once.div_ceil(FULL_SPEED));
-        thread::sleep(Duration::from_millis(self.load_ms * share * u64::from(factor)));
+        let slow_factor =
+            self.faults.lock().expect("no holder of the lock panics").slow_factor.max(1);
+        let slowdown = u64::from(concurrent.div_ceil(MAX_FULL_SPEED_LOADS));
+        thread::sleep(Duration::from_millis(self.load_ms * slowdown * u64::from(slow_factor)));
         *self.running.lock().expect("no holder of the lock panics") -= 1;
     }
 }
 
 impl Handler for WeightState {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
-        if let Some(done) = server::faults(&req, stream, after, &self.faults) {
-            return done;
+        if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
+            return result;
         }
         self.load();
         server::json(stream, after, 200, &())
     }
 }
 
-/// Starts a store on `address`.
+/// Starts a weight store on `address`.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn start(address: SocketAddr, load_ms: u64) -> io::Result<(Running, Arc<WeightState>)> {
     const LOADS_PER_S: u32 = 3;
     let state = Arc::new(WeightState::new(load_ms, LOADS_PER_S));
