--- a/crates/tansyknot-platform/src/engine.rs
+++ b/crates/tansyknot-platform/src/engine.rs
@@ -10,7 +10,7 @@
     name::{AdapterName, AttemptId, ServiceName},
 };
 
-use crate::http::{Answer, JsonClient};
+use crate::http::{HttpResponse, JsonClient};
 
 /// A client of model engines over HTTP and JSON.
 #[derive(Clone, Debug)]
@@ -30,48 +30,48 @@
 }
 
 #[derive(Deserialize)]
-struct Refused {
+struct StaleFenceResponse {
     seen: u64,
 }
 
 impl HttpEngine {
-    /// Makes a client whose calls end after `timeout`.
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self { http: JsonClient::new("engine", timeout) }
     }
 
-    fn order<T: Serialize>(&self, target: &Target, path: &str, doc: &T) -> Result<()> {
-        let answer = self.http.post(&format!("http://{}{path}", target.address), doc)?;
-        match answer.status {
+    fn send_order<T: Serialize>(&self, target: &Target, path: &str, doc: &T) -> Result<()> {
+        let response = self.http.post(&format!("http://{}{path}", target.address), doc)?;
+        match response.status {
             200 | 202 => Ok(()),
-            412 => Err(self.stale_fence(&answer)?),
+            412 => Err(self.stale_fence(&response)?),
             507 => Err(Error::OutOfMemory),
-            409 => Err(Error::busy("engine", answer.text)),
-            _ => Err(self.http.unexpected(&answer)),
+            409 => Err(Error::busy("engine", response.text)),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 
-    fn stale_fence(&self, answer: &Answer) -> Result<Error> {
-        let refused: Refused = self.http.parse(&answer.text)?;
-        Ok(Error::StaleFence { seen: refused.seen })
+    fn stale_fence(&self, response: &HttpResponse) -> Result<Error> {
+        let rejection: StaleFenceResponse = self.http.parse(&response.text)?;
+        Ok(Error::StaleFence { seen: rejection.seen })
     }
 }
 
 impl Engine for HttpEngine {
     fn status(&self, target: &Target) -> Result<EngineStatus> {
-        let answer = self.http.get(&format!("http://{}/control/status", target.address), &[])?;
-        match answer.status {
-            200 => self.http.parse(&answer.text),
-            _ => Err(self.http.unexpected(&answer)),
+        let response = self.http.get(&format!("http://{}/control/status", target.address), &[])?;
+        match response.status {
+            200 => self.http.parse(&response.text),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 
     fn load(&self, target: &Target, order: &LoadOrder) -> Result<()> {
-        self.order(target, "/control/load", order)
+        self.send_order(target, "/control/load", order)
     }
 
     fn unload(&self, target: &Target, order: &UnloadOrder) -> Result<()> {
-        self.order(target, "/control/unload", order)
+        self.send_order(target, "/control/unload", order)
     }
 
     fn load_adapter(
@@ -80,10 +80,10 @@
         service: &ServiceName,
         adapter: &AdapterName,
     ) -> Result<()> {
-        self.order(target, "/control/adapter", &AdapterOrder { service, adapter })
+        self.send_order(target, "/control/adapter", &AdapterOrder { service, adapter })
     }
 
     fn cancel(&self, target: &Target, attempt: &AttemptId) -> Result<()> {
-        self.order(target, "/control/cancel", &CancelOrder { attempt })
+        self.send_order(target, "/control/cancel", &CancelOrder { attempt })
     }
 }
--- a/crates/tansyknot-platform/src/host.rs
+++ b/crates/tansyknot-platform/src/host.rs
@@ -11,8 +11,9 @@
 
 /// A client of the list of hosts over HTTP and JSON.
 ///
-/// It asks for the list only if its `ETag` has changed: at the target size one list is over a
-/// megabyte, and a thousand of them would be read for each that differs.
+/// Requests carry the `ETag` of the last list, so an unchanged list is not sent again: at the fleet
+/// size that the service is designed for, a list exceeds one megabyte, and without the
+/// `ETag` a client would read a thousand of them for each one that differs.
 #[derive(Debug)]
 pub struct HttpHostList {
     http: JsonClient,
@@ -21,8 +22,9 @@
 }
 
 impl HttpHostList {
-    /// Makes a client of the list at `address`.
-    /// A `query` such as `region=dakar` has the platform list only a part of the hosts.
+    /// Creates a client of the list at `address`.
+    ///
+    /// A `query` such as `region=dakar` restricts the list to a part of the hosts.
     pub fn new(address: SocketAddr, query: &str, timeout: Duration) -> Self {
         let query = if query.is_empty() { String::new() } else { format!("?{query}") };
         Self {
@@ -36,16 +38,17 @@
 impl HostList for HttpHostList {
     fn list(&self) -> Result<Option<Vec<Target>>> {
         let mut etag = self.etag.lock().expect("no holder of the lock panics");
-        let answer = self.http.get_if_changed(&self.url, etag.as_deref())?;
-        match answer.status {
+        let response = self.http.get_if_changed(&self.url, etag.as_deref())?;
+        match response.status {
             200 => {
-                let targets = self.http.parse(&answer.text)?;
-                // A list that did not parse must not count as read.
-                *etag = answer.etag;
+                let targets = self.http.parse(&response.text)?;
+                // The `ETag` is stored only after the list was parsed, so that a malformed list is
+                // requested again.
+                *etag = response.etag;
                 Ok(Some(targets))
             }
             304 => Ok(None),
-            _ => Err(self.http.unexpected(&answer)),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 }
--- a/crates/tansyknot-platform/src/http.rs
+++ b/crates/tansyknot-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls with whole JSON answers, and what their failures mean.
+//! A blocking HTTP client for complete JSON responses, and the classification of its failures.
 
 use std::{
     io::{self, Read as _},
@@ -8,21 +8,21 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tansyknot_core::{Error, Result};
 
-/// An answer longer than this is malformed.
-const MAX_ANSWER_BYTES: u64 = 64 << 20;
+/// A call whose response body is longer than this fails.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 
-/// A status and the text that came with it.
+/// A response with its body as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The HTTP status.
     pub status: u16,
     /// The body.
     pub text: String,
-    /// The `ETag` header.
+    /// The `ETag` header, if it was sent.
     pub etag: Option<String>,
 }
 
-/// A client of one kind of outside service.
+/// A client of one kind of external service.
 #[derive(Clone, Debug)]
 pub struct JsonClient {
     service: &'static str,
@@ -30,7 +30,7 @@
 }
 
 impl JsonClient {
-    /// Makes a client whose calls end after `timeout`.
+    /// Creates a client whose calls time out after `timeout`. Errors name the `service`.
     pub fn new(service: &'static str, timeout: Duration) -> Self {
         let cfg = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -46,33 +46,33 @@
     ///
     /// # Errors
     ///
-    /// Fails if no answer came.
-    pub fn get(&self, url: &str, query: &[(&str, &str)]) -> Result<Answer> {
+    /// Fails if no complete UTF-8 response was received.
+    pub fn get(&self, url: &str, query: &[(&str, &str)]) -> Result<HttpResponse> {
         let req = self.agent.get(url).query_pairs(query.iter().copied());
         self.read(req.call())
     }
 
-    /// Gets `url` with query parameters, within `timeout` in place of the client's own.
+    /// Gets `url` with query parameters; `timeout` replaces the client's timeout.
     ///
     /// # Errors
     ///
-    /// Fails if no answer came.
+    /// Fails if no complete UTF-8 response was received.
     pub fn get_within(
         &self,
         url: &str,
         query: &[(&str, &str)],
         timeout: Duration,
-    ) -> Result<Answer> {
+    ) -> Result<HttpResponse> {
         let req = self.agent.get(url).query_pairs(query.iter().copied());
         self.read(req.config().timeout_global(Some(timeout)).build().call())
     }
 
-    /// Gets `url` unless it still has this `ETag`; the status is then 304.
+    /// Gets `url`, or a response with status 304 if the resource still has this `ETag`.
     ///
     /// # Errors
     ///
-    /// Fails if no answer came.
-    pub fn get_if_changed(&self, url: &str, etag: Option<&str>) -> Result<Answer> {
+    /// Fails if no complete UTF-8 response was received.
+    pub fn get_if_changed(&self, url: &str, etag: Option<&str>) -> Result<HttpResponse> {
         let req = self.agent.get(url);
         let req = match etag {
             Some(etag) => req.header("if-none-match", etag),
@@ -85,55 +85,57 @@
     ///
     /// # Errors
     ///
-    /// Fails if no answer came; the call may have taken effect if the error says so.
-    pub fn post<T: Serialize>(&self, url: &str, doc: &T) -> Result<Answer> {
+    /// Fails if no complete UTF-8 response was received. The call may have taken effect if
+    /// [`Error::may_have_taken_effect`] returns true.
+    pub fn post<T: Serialize>(&self, url: &str, doc: &T) -> Result<HttpResponse> {
         self.read(self.agent.post(url).send_json(doc))
     }
 
-    /// Parses the text of an answer.
+    /// Parses the text of a response.
     ///
     /// # Errors
     ///
-    /// [`Error::Malformed`] if it is not the document that is expected.
+    /// [`Error::Malformed`] if the text is not a JSON document of type `T`.
     pub fn parse<T: DeserializeOwned>(&self, text: &str) -> Result<T> {
         serde_json::from_str(text).map_err(|e| Error::malformed(self.service, e))
     }
 
-    /// Turns a status that the protocol does not name into an error.
-    pub fn unexpected(&self, answer: &Answer) -> Error {
-        match answer.status {
-            429 | 503 => Error::busy(self.service, &answer.text),
-            status => Error::malformed(self.service, format!("status {status}: {}", answer.text)),
+    /// Returns the error for a status that the protocol does not define: [`Error::Busy`] for 429 and
+    /// 503, otherwise [`Error::Malformed`].
+    pub fn unexpected(&self, response: &HttpResponse) -> Error {
+        match response.status {
+            429 | 503 => Error::busy(self.service, &response.text),
+            status => Error::malformed(self.service, format!("status {status}: {}", response.text)),
         }
     }
 
     fn read(
         &self,
         result: std::result::Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-    ) -> Result<Answer> {
+    ) -> Result<HttpResponse> {
         let mut res = result.map_err(|e| classify(self.service, &e))?;
         let status = res.status().as_u16();
         let etag = res.headers().get("etag").and_then(|v| v.to_str().ok()).map(str::to_owned);
         let mut bytes = Vec::new();
-        let mut body = res.body_mut().with_config().limit(MAX_ANSWER_BYTES).reader();
-        body.read_to_end(&mut bytes).map_err(|e| self.broken_off(&e, bytes.len()))?;
+        let mut body = res.body_mut().with_config().limit(MAX_RESPONSE_BYTES).reader();
+        body.read_to_end(&mut bytes).map_err(|e| self.body_error(&e, bytes.len()))?;
         let text = String::from_utf8(bytes).map_err(|e| Error::malformed(self.service, e))?;
-        Ok(Answer { status, text, etag })
+        Ok(HttpResponse { status, text, etag })
     }
 
-    /// Returns the failure of a call whose answer broke off after `received` bytes of its body.
-    fn broken_off(&self, e: &io::Error, received: usize) -> Error {
+    /// Returns the error of a call whose response body failed after `received` bytes.
+    fn body_error(&self, e: &io::Error, received: usize) -> Error {
         Error::unknown(self.service, format!("{e} after {received} bytes of the answer"))
     }
 }
 
-/// Tells a call that never left from one whose result is unknown.
+/// Distinguishes a call that was never sent from one whose outcome is unknown.
 fn classify(service: &'static str, e: &ureq::Error) -> Error {
-    let never_left = match e {
+    let never_sent = match e {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
         ureq::Error::Timeout(ureq::Timeout::Connect | ureq::Timeout::Resolve) => true,
         ureq::Error::Io(e) => e.kind() == io::ErrorKind::ConnectionRefused,
         _ => false,
     };
-    if never_left { Error::unreachable(service, e) } else { Error::unknown(service, e) }
+    if never_sent { Error::unreachable(service, e) } else { Error::unknown(service, e) }
 }
--- a/crates/tansyknot-platform/src/lib.rs
+++ b/crates/tansyknot-platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the table service, the list of hosts and the model engines.
+//! HTTP clients of the table service, the list of hosts and the model engines.
 
 pub mod engine;
 pub mod host;
--- a/crates/tansyknot-platform/src/table.rs
+++ b/crates/tansyknot-platform/src/table.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct HttpTable {
     http: JsonClient,
-    base: String,
+    base_url: String,
 }
 
 #[derive(Deserialize)]
@@ -23,41 +23,41 @@
 }
 
 impl HttpTable {
-    /// Makes a client of the service at `address`.
+    /// Creates a client of the service at `address` whose calls time out after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
-        Self { http: JsonClient::new("table", timeout), base: format!("http://{address}") }
+        Self { http: JsonClient::new("table", timeout), base_url: format!("http://{address}") }
     }
 }
 
 impl Table for HttpTable {
     fn read(&self, key: &str) -> Result<Option<Row>> {
-        let answer = self.http.get(&format!("{}/row", self.base), &[("key", key)])?;
-        match answer.status {
-            200 => self.http.parse(&answer.text).map(Some),
+        let response = self.http.get(&format!("{}/row", self.base_url), &[("key", key)])?;
+        match response.status {
+            200 => self.http.parse(&response.text).map(Some),
             404 => Ok(None),
-            _ => Err(self.http.unexpected(&answer)),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 
     fn scan(&self, prefix: &str, after: &str, limit: usize) -> Result<Vec<Row>> {
         let limit = limit.to_string();
         let query = [("prefix", prefix), ("after", after), ("limit", limit.as_str())];
-        let answer = self.http.get(&format!("{}/rows", self.base), &query)?;
-        match answer.status {
-            200 => self.http.parse(&answer.text),
-            _ => Err(self.http.unexpected(&answer)),
+        let response = self.http.get(&format!("{}/rows", self.base_url), &query)?;
+        match response.status {
+            200 => self.http.parse(&response.text),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 
     fn commit(&self, txn: &Transaction) -> Result<()> {
-        let answer = self.http.post(&format!("{}/commit", self.base), txn)?;
-        match answer.status {
+        let response = self.http.post(&format!("{}/commit", self.base_url), txn)?;
+        match response.status {
             200 => Ok(()),
             409 => {
-                let conflict: Conflict = self.http.parse(&answer.text)?;
+                let conflict: Conflict = self.http.parse(&response.text)?;
                 Err(Error::Conflict { key: conflict.key })
             }
-            _ => Err(self.http.unexpected(&answer)),
+            _ => Err(self.http.unexpected(&response)),
         }
     }
 }
