--- a/crates/tansyknot-fleet/tests/relays.rs
+++ b/crates/tansyknot-fleet/tests/relays.rs
@@ -4,10 +4,10 @@
 
 use tansyknot_core::clock::Time;
 use tansyknot_fleet::dissemination::{
-    audience::Audience,
-    followed::Known,
     peers::{self, PeerEntry, Peers},
-    relays::{self, FOLLOWERS_MOST, Group, Seat},
+    planner_view::ReceivedState,
+    recipients::Recipients,
+    relays::{self, FOLLOWERS_MOST, Group, RelayCandidate},
 };
 use yare::parameterized;
 
@@ -26,9 +26,9 @@
     PeerEntry { address: address(n), zone, link_mbps }
 }
 
-fn seat(n: usize, is_sound: bool) -> Seat {
+fn seat(n: usize, is_sound: bool) -> RelayCandidate {
     let PeerEntry { address, zone, link_mbps } = entry(n);
-    Seat { address, zone, link_mbps, is_sound }
+    RelayCandidate { address, zone, link_mbps, is_sound }
 }
 
 /// Returns everyone that groups reach, each once.
@@ -48,7 +48,7 @@
     the_target = { 339, 20 },
 )]
 fn everyone_is_told_once_and_nobody_sends_much(daemons: usize, sends: usize) {
-    let seats: Vec<Seat> = (0..daemons).map(|n| seat(n, true)).collect();
+    let seats: Vec<RelayCandidate> = (0..daemons).map(|n| seat(n, true)).collect();
     let groups = relays::groups(&seats);
     assert_eq!(reached(&groups).len(), daemons);
     assert_eq!(groups.len(), sends);
@@ -57,7 +57,7 @@
 
 #[test]
 fn relays_are_of_the_zone_and_have_its_best_links() {
-    let seats: Vec<Seat> = (0..294).map(|n| seat(n, true)).collect();
+    let seats: Vec<RelayCandidate> = (0..294).map(|n| seat(n, true)).collect();
     let zone = |a: &SocketAddr| seats.iter().find(|s| s.address == *a).map(|s| s.zone.clone());
     for group in relays::groups(&seats) {
         assert_eq!(group.link_mbps, Some(200));
@@ -67,20 +67,20 @@
 
 #[test]
 fn daemons_without_a_sound_relay_are_told_directly() {
-    let seats: Vec<Seat> = (0..100).map(|n| seat(n, n % 5 != 0)).collect();
+    let seats: Vec<RelayCandidate> = (0..100).map(|n| seat(n, n % 5 != 0)).collect();
     let groups = relays::groups(&seats);
     assert_eq!(reached(&groups).len(), 100);
     let alone = groups.iter().filter(|g| g.followers.is_empty()).count();
     assert_eq!(alone, 20, "zone z0 has no sound daemon");
 }
 
-fn known(silent_ms: u32) -> Known {
-    Known { fence: FENCE, number: Some(3), version: 9, missing_to: None, silent_ms }
+fn known(silent_ms: u32) -> ReceivedState {
+    ReceivedState { fence: FENCE, number: Some(3), version: 9, missing_to: None, silent_ms }
 }
 
 /// Returns an audience that all of `daemons` have spoken to at `now`.
-fn audience(daemons: usize, now: Time) -> Audience {
-    let mut audience = Audience::default();
+fn audience(daemons: usize, now: Time) -> Recipients {
+    let mut audience = Recipients::default();
     for n in 0..daemons {
         audience.hear(entry(n), known(0), FENCE, now);
     }
@@ -89,7 +89,7 @@
 }
 
 /// Lets a beat pass after which those whom `is_lost` names have not heard `beats` of them.
-fn speak(audience: &mut Audience, is_lost: impl Fn(usize) -> bool, beats: u32, now: Time) {
+fn speak(audience: &mut Recipients, is_lost: impl Fn(usize) -> bool, beats: u32, now: Time) {
     for n in 0..294 {
         let silent = if is_lost(n) { BEAT * beats } else { Duration::ZERO };
         audience.hear(entry(n), known(silent.as_millis() as u32), FENCE, now);
@@ -162,7 +162,7 @@
 fn daemon_that_lacks_something_is_told_once_each_pause() {
     let now = Time::from_millis(10_000);
     let mut audience = audience(30, now);
-    let lacks = Known { missing_to: Some(4), ..known(0) };
+    let lacks = ReceivedState { missing_to: Some(4), ..known(0) };
     assert!(audience.hear(entry(3), lacks, FENCE, now));
     assert_eq!(audience.repairs(FENCE, now).len(), 1);
     assert!(!audience.hear(entry(3), lacks, FENCE, now + Duration::from_millis(50)));
@@ -177,7 +177,7 @@
     for beat in 0..17 {
         peers::slice(&entries, beat).into_iter().for_each(|entry| peers.add(entry, now));
     }
-    let mut audience = Audience::default();
+    let mut audience = Recipients::default();
     audience.begin(peers.all(now).cloned().collect(), now);
     assert_eq!(reached(audience.groups()).len(), 294);
 }
--- a/crates/tansyknot-fleet/tests/run_state.rs
+++ b/crates/tansyknot-fleet/tests/run_state.rs
@@ -5,7 +5,7 @@
 use tansyknot_core::clock::Time;
 use tansyknot_fleet::{
     backpressure::{
-        Interval, Outcome, Rate, Said, Signals,
+        Interval, Outcome, Rate, SignalField, Signals,
         registry::Registry,
         run_state::{Availability, RunState},
     },
@@ -28,16 +28,19 @@
 }
 
 fn naming(per_s: f64) -> Signals {
-    Signals { limit: Said::Value(rate(per_s)), ..Signals::default() }
+    Signals { limit: SignalField::Value(rate(per_s)), ..Signals::default() }
 }
 
 fn resting(ms: u64) -> Signals {
-    Signals { rest: Said::Value(Duration::from_millis(ms)), ..Signals::default() }
+    Signals { rest: SignalField::Value(Duration::from_millis(ms)), ..Signals::default() }
 }
 
-const SILENT: Signals =
-    Signals { limit: Said::Nothing, leaving: Said::Nothing, rest: Said::Nothing };
-const LEAVES: Signals = Signals { leaving: Said::Value(()), ..SILENT };
+const SILENT: Signals = Signals {
+    limit: SignalField::Nothing,
+    leaving: SignalField::Nothing,
+    rest: SignalField::Nothing,
+};
+const LEAVES: Signals = Signals { leaving: SignalField::Value(()), ..SILENT };
 
 /// Returns the limit after answers in the order in which they came: what each said, if it ran, when
 /// its request was sent and when it came.
@@ -66,7 +69,7 @@
     not_ended_by_a_malformed_one = {
         &[
             (naming(2.0), Outcome::Ran, interval(0, 9)),
-            (Signals { limit: Said::Malformed, ..SILENT }, Outcome::Ran, interval(10, 20)),
+            (Signals { limit: SignalField::Malformed, ..SILENT }, Outcome::Ran, interval(10, 20)),
         ],
         Some(2.0)
     },
--- a/crates/tansyknot-fleet/tests/stop.rs
+++ b/crates/tansyknot-fleet/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansyknot_fleet::stop::StopPlan;
+use tansyknot_fleet::shutdown::ShutdownPlan;
 use yare::parameterized;
 
 #[parameterized(
@@ -13,7 +13,7 @@
 )]
 fn requests_are_cut_in_the_last_sixth_of_the_grace_and_refused_well_before(grace_ms: u64) {
     let grace = Duration::from_millis(grace_ms);
-    let plan = StopPlan::of(grace);
+    let plan = ShutdownPlan::of(grace);
     assert!(plan.cut_after >= grace * 5 / 6, "{plan:?}");
     assert!(plan.cut_after + Duration::from_millis(150) <= grace, "{plan:?}");
     assert!(plan.refuse_after + Duration::from_millis(500) <= plan.cut_after, "{plan:?}");
--- a/crates/tansyknot-fleet/tests/support/calls.rs
+++ b/crates/tansyknot-fleet/tests/support/calls.rs
@@ -6,8 +6,8 @@
 use tansyknot_core::{Error, Result, clock::Time};
 use tansyknot_fleet::{
     backoff,
-    conduct::Conductor,
-    follow::{Answer, Call, Outcome, TargetFollower},
+    follow::{CallOutcome, ListCall, ListResponse, TargetFollower},
+    peering::PeerNode,
     state::State,
 };
 
@@ -28,17 +28,17 @@
 
 /// A call that is under way: it reaches the store, is answered there, and the answer comes back.
 struct Pending {
-    call: Call,
+    call: ListCall,
     asked_at: Time,
     ends_at: Time,
-    answer: Option<Result<Option<Answer>>>,
+    answer: Option<Result<Option<ListResponse>>>,
 }
 
 /// A daemon's calls for the list.
 pub(crate) struct Calls {
     pub(crate) follower: TargetFollower,
     state: Arc<State>,
-    conductor: Arc<Conductor>,
+    conductor: Arc<PeerNode>,
     pending: Option<Pending>,
     /// Calls that failed in a row.
     failures: u32,
@@ -50,7 +50,7 @@
     pub(crate) fn new(
         follower: TargetFollower,
         state: Arc<State>,
-        conductor: Arc<Conductor>,
+        conductor: Arc<PeerNode>,
     ) -> Self {
         let call_at = state.now();
         let (pending, failures, was_planner) = (None, 0, false);
@@ -92,17 +92,17 @@
         let is_late = now.since(pending.call.began()) > CALL_TIMEOUT;
         let answer = if is_late { Err(Error::unknown("store", "timeout")) } else { answer };
         let outcome = self.follower.end(pending.call, answer);
-        self.failures = if outcome == Outcome::Failed { self.failures + 1 } else { 0 };
+        self.failures = if outcome == CallOutcome::Failed { self.failures + 1 } else { 0 };
         self.call_at = now + self.pause(outcome);
     }
 
     /// Returns how long to pause after a call.
-    fn pause(&self, outcome: Outcome) -> Duration {
+    fn pause(&self, outcome: CallOutcome) -> Duration {
         match outcome {
-            Outcome::HistoryLost => Duration::ZERO,
-            Outcome::Failed => backoff::grown(RETRY_FIRST, self.failures - 1, RETRY_MOST),
-            Outcome::Answered if self.conductor.is_planner() => self.state.spans.list_pace,
-            Outcome::Answered => self.state.list_pace(),
+            CallOutcome::HistoryLost => Duration::ZERO,
+            CallOutcome::Failed => backoff::grown(RETRY_FIRST, self.failures - 1, RETRY_MOST),
+            CallOutcome::Answered if self.conductor.is_planner() => self.state.spans.list_pace,
+            CallOutcome::Answered => self.state.list_pace(),
         }
     }
 }
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use tansyknot_core::clock::Time;
 use tansyknot_fleet::poison::{
-    CRASHES_CONVICT, Look, Presence,
+    CRASHES_CONVICT, CheckState, Presence,
     key::{RequestKey, RunKey},
 };
 
@@ -236,7 +236,7 @@
         }
         {
             let mut poison = node.state.poison();
-            if poison.cut_off(sent.key, RunKey(run), sent.opened, now) == Look::Due {
+            if poison.cut_off(sent.key, RunKey(run), sent.opened, now) == CheckState::Due {
                 poison.looked(RunKey(run), presence, now);
             }
         }
--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -7,9 +7,9 @@
 
 use tansyknot_core::{Error, Result};
 use tansyknot_fleet::{
-    outside::{Action, Order, Ordered, TargetChange, Targets},
+    platform_api::{Action, Order, OrderReply, TargetChange, Targets},
     state::State,
-    target::{Born, Held, Report, Target},
+    target::{LoadedModel, Report, StartTime, Target},
 };
 
 use super::held;
@@ -30,8 +30,8 @@
 /// A target's engine.
 #[derive(Default)]
 pub(crate) struct Engine1 {
-    pub(crate) born: Option<Born>,
-    pub(crate) models: Vec<Held>,
+    pub(crate) born: Option<StartTime>,
+    pub(crate) models: Vec<LoadedModel>,
     pub(crate) orders: u64,
     pub(crate) faults: VecDeque<OrderFault>,
     pub(crate) late: Option<Order>,
@@ -84,13 +84,13 @@
 }
 
 impl Engine1 {
-    fn carry_out(&mut self, order: &Order) -> Ordered {
+    fn carry_out(&mut self, order: &Order) -> OrderReply {
         if order.expected != self.orders {
-            return Ordered::Conflict;
+            return OrderReply::Conflict;
         }
         match &order.action {
             Action::Load { model, adapter: None } => {
-                self.models.push(Held { model: model.clone(), adapters: Vec::new() });
+                self.models.push(LoadedModel { model: model.clone(), adapters: Vec::new() });
             }
             Action::Remove { model, adapter: None } => self.models.retain(|h| h.model != *model),
             Action::Load { model, adapter: Some(adapter) } => {
@@ -104,12 +104,12 @@
         }
         self.orders += 1;
         self.most_models = self.most_models.max(self.models.len());
-        Ordered::Accepted
+        OrderReply::Accepted
     }
 }
 
 impl Targets for FakeTarget {
-    fn order(&self, _: &Target, order: &Order, allowed: &dyn Fn() -> bool) -> Result<Ordered> {
+    fn order(&self, _: &Target, order: &Order, allowed: &dyn Fn() -> bool) -> Result<OrderReply> {
         if !allowed() {
             return Err(Error::unreachable("target", "not allowed"));
         }
@@ -120,7 +120,7 @@
         let fault = engine.faults.pop_front();
         let result = match fault {
             None => Ok(engine.carry_out(order)),
-            Some(OrderFault::Busy) => Ok(Ordered::Conflict),
+            Some(OrderFault::Busy) => Ok(OrderReply::Conflict),
             Some(OrderFault::Lost) => Err(Error::unknown("target", "no answer")),
             Some(OrderFault::AnswerLost) => {
                 engine.carry_out(order);
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -22,12 +22,12 @@
 use tansyknot_fleet::{
     access::AccessOptions,
     budget::BudgetOptions,
-    catalog::{Catalog, Engine, Model, Repeat, Route, Service},
-    keep::{Keeper, Reluctance, SharedLease},
-    lease::{Holder, LeaseOptions},
-    spans::Spans,
+    catalog::{Catalog, Engine, Model, Repeatability, Route, Service},
+    freshness::FreshnessLimits,
+    lease::{LeaseHolder, LeaseOptions},
+    lease_keeper::{LeaseKeeper, Reluctance, SharedLease},
     state::{State, StateOptions},
-    target::{Held, Target, TargetState},
+    target::{LoadedModel, Target, TargetState},
 };
 
 use store::{Door, FakeStore};
@@ -41,7 +41,7 @@
     pub(crate) door: Door,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
-    pub(crate) keeper: Arc<Keeper>,
+    pub(crate) keeper: Arc<LeaseKeeper>,
     due: RefCell<Time>,
     ordered: RefCell<Option<(Time, u64)>>,
 }
@@ -62,7 +62,7 @@
         let lease = Arc::new(SharedLease::default());
         // Every daemon has a host of its own.
         let host = name.bytes().next().unwrap_or(1);
-        let me = Holder {
+        let me = LeaseHolder {
             daemon: name.into(),
             incarnation: tansyknot_core::name::random_id().into(),
             address: ([10, 0, 0, host], 7000).into(),
@@ -72,7 +72,7 @@
             rests: Default::default(),
             all_rest: 0,
         };
-        let keeper = Arc::new(Keeper::new(
+        let keeper = Arc::new(LeaseKeeper::new(
             Arc::clone(&state),
             Arc::new(door.clone()),
             Arc::clone(&lease),
@@ -136,8 +136,11 @@
 /// Makes the shared state of a daemon in zone `z1`.
 pub(crate) fn state(clock: &ManualClock) -> Arc<State> {
     let budget = BudgetOptions { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
-    let options =
-        StateOptions { budget, access: AccessOptions::default(), spans: Spans::default() };
+    let options = StateOptions {
+        budget,
+        access: AccessOptions::default(),
+        spans: FreshnessLimits::default(),
+    };
     Arc::new(State::new(ZoneName::from("z1"), options, Arc::new(clock.clone())))
 }
 
@@ -160,8 +163,11 @@
 }
 
 /// Makes a held model with adapters.
-pub(crate) fn held(model: &str, adapters: &[&str]) -> Held {
-    Held { model: ModelName::from(model), adapters: adapters.iter().map(|a| (*a).into()).collect() }
+pub(crate) fn held(model: &str, adapters: &[&str]) -> LoadedModel {
+    LoadedModel {
+        model: ModelName::from(model),
+        adapters: adapters.iter().map(|a| (*a).into()).collect(),
+    }
 }
 
 /// Makes a configuration of service `s` with models `m0` to `m9`; an engine holds three.
@@ -190,7 +196,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        repeat: Repeat::Stream,
+        repeat: Repeatability::Stream,
         timeout: Duration::from_secs(25),
         objective: Duration::from_millis(2500),
         gap_objective: None,
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -19,16 +19,16 @@
 use tansyknot_fleet::{
     access::AccessOptions,
     budget::BudgetOptions,
-    conduct::{Conductor, Me},
-    dissemination::pace::{BEAT, Occasion},
+    dissemination::heartbeat::{BEAT, StepReason},
     follow::{ConfigFollower, TargetFollower},
-    keep::{Keeper, Reluctance, SharedLease},
-    lease::{Holder, LeaseOptions},
-    outside::{Datagrams, Store},
-    poison::keep::PoisonKeeper,
-    spans::{Bounds, Spans},
+    freshness::{Bounds, FreshnessLimits},
+    lease::{LeaseHolder, LeaseOptions},
+    lease_keeper::{LeaseKeeper, Reluctance, SharedLease},
+    peering::{DaemonIdentity, PeerNode},
+    platform_api::{DatagramSender, Store},
+    poison::keeper::PoisonKeeper,
     state::{State, StateOptions},
-    task::Orders,
+    task::TaskRunner,
 };
 
 use super::{
@@ -69,7 +69,7 @@
     address: SocketAddr,
 }
 
-impl Datagrams for Socket {
+impl DatagramSender for Socket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         let mut traffic = self.traffic.lock().expect("no test panics with it");
         let sent = traffic.sent.entry(self.address).or_default();
@@ -91,8 +91,8 @@
     pub(crate) address: SocketAddr,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
-    keeper: Arc<Keeper>,
-    pub(crate) conductor: Arc<Conductor>,
+    keeper: Arc<LeaseKeeper>,
+    pub(crate) conductor: Arc<PeerNode>,
     pub(crate) calls: Calls,
     poison: PoisonKeeper,
     config: ConfigFollower,
@@ -132,7 +132,7 @@
     pub(crate) rng: StdRng,
     changes: u64,
     runs: u64,
-    pub(crate) spans: Spans,
+    pub(crate) spans: FreshnessLimits,
 }
 
 impl Network {
@@ -159,7 +159,7 @@
             rng: StdRng::seed_from_u64(5),
             changes: 0,
             runs: 0,
-            spans: Spans::of(&Bounds { leave_within, ..Bounds::default() }),
+            spans: FreshnessLimits::of(&Bounds { leave_within, ..Bounds::default() }),
         };
         network.nodes = (0..daemons).map(|n| network.node(n)).collect();
         network
@@ -189,7 +189,7 @@
         let daemon: Arc<str> = format!("d{n}").into();
         let incarnation: Arc<str> = format!("d{n}-{}", self.runs).into();
         let is_good = n.is_multiple_of(GOOD);
-        let holder = Holder {
+        let holder = LeaseHolder {
             daemon: Arc::clone(&daemon),
             incarnation: Arc::clone(&incarnation),
             address,
@@ -204,7 +204,7 @@
         let store: Arc<dyn Store> = Arc::new(door);
         let reluctance = if is_good { Reluctance::None } else { Reluctance::Reluctant };
         let options = LeaseOptions { turn: TURN };
-        let keeper = Keeper::new(
+        let keeper = LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
             Arc::clone(&lease),
@@ -213,7 +213,7 @@
             reluctance,
         );
         let keeper = Arc::new(keeper);
-        let orders = Arc::new(Orders {
+        let orders = Arc::new(TaskRunner {
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
@@ -226,8 +226,8 @@
         let (clock, traffic) = (self.clock.clone(), Arc::clone(&self.traffic));
         let socket = Arc::new(Socket { clock, traffic, address });
         let link_mbps = Some(if is_good { 200 } else { 20 });
-        let me = Me { daemon, incarnation, address, zone, link_mbps };
-        let conductor = Arc::new(Conductor::new(Arc::clone(&state), orders, socket, me));
+        let me = DaemonIdentity { daemon, incarnation, address, zone, link_mbps };
+        let conductor = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, me));
         let known = Arc::new(AtomicBool::new(false));
         let poison = PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store));
         let config = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
@@ -378,9 +378,9 @@
         let count = self.state.demand_changed.count();
         if now >= self.beat_at {
             self.beat_at = now + BEAT;
-            self.conductor.step(Occasion::Beat);
+            self.conductor.step(StepReason::Beat);
         } else if count != self.seen {
-            self.conductor.step(Occasion::Change);
+            self.conductor.step(StepReason::Change);
         }
         self.seen = count;
     }
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -8,11 +8,11 @@
 };
 use tansyknot_fleet::{
     dissemination::{
-        followed::Known,
         message::{Demand, InFlight, ModelUse},
+        planner_view::ReceivedState,
     },
-    outside::Action,
     plan::{Planner, Task},
+    platform_api::Action,
     target::Target,
 };
 
@@ -60,7 +60,7 @@
             beat: self.beat,
             zone: "z1".into(),
             link_mbps: None,
-            known: Known::default(),
+            known: ReceivedState::default(),
             models: uses.to_vec(),
             in_flight,
             poison: Default::default(),
--- a/crates/tansyknot-fleet/tests/support/signals.rs
+++ b/crates/tansyknot-fleet/tests/support/signals.rs
@@ -13,9 +13,9 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tansyknot_core::{clock::Time, name::TargetName};
 use tansyknot_fleet::{
-    backpressure::{Interval, Outcome, Said, Signals},
+    backpressure::{Interval, Outcome, SignalField, Signals},
     poison::key::RunKey,
-    target::{Born, Target, TargetState},
+    target::{StartTime, Target, TargetState},
 };
 
 use super::{hosts::Hosts, network::Network, target};
@@ -173,7 +173,7 @@
         self.starts += 1;
         let model = if n == LONE { "m9" } else { "m0" };
         let fresh = target(&format!("t{}", self.starts), &[model], &[]);
-        let born = Some(Born(self.starts as u64));
+        let born = Some(StartTime(self.starts as u64));
         let entry = Target { name: name.unwrap_or(fresh.name), born, slots: 32, ..fresh };
         self.network.table.put(entry.clone());
         let now = self.now();
@@ -331,10 +331,10 @@
             epoch: flight.req.epoch,
             run: RunKey::of(&flight.target),
         };
-        if signals.leaving == Said::Value(()) {
+        if signals.leaving == SignalField::Value(()) {
             self.told_leaving.entry(told).or_insert(now);
         }
-        if let Said::Value(span) = signals.rest {
+        if let SignalField::Value(span) = signals.rest {
             let until = self.told_rest.entry(told).or_default();
             *until = (*until).max(now + span);
         }
@@ -356,7 +356,8 @@
             actor.former_until = now;
         }
         let is_newer = flight.began > actor.spell().since.max(actor.former_until + TRANSIT);
-        let is_told = is_newer && signals.limit != Said::Malformed && outcome == Outcome::Ran;
+        let is_told =
+            is_newer && signals.limit != SignalField::Malformed && outcome == Outcome::Ran;
         let by = flight.req.daemon;
         if is_told && self.hosts.is_sound(by, CONTACT, now) {
             let spell = actor.spells.last_mut().expect("there is one from its start");
--- a/crates/tansyknot-fleet/tests/support/signals/actor.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/actor.rs
@@ -4,7 +4,7 @@
 
 use tansyknot_core::clock::Time;
 use tansyknot_fleet::{
-    backpressure::{Rate, Said, Signals},
+    backpressure::{Rate, SignalField, Signals},
     target::Target,
 };
 
@@ -82,7 +82,11 @@
 
     pub(super) fn signals(&self) -> Signals {
         let limit = self.limit().and_then(Rate::new);
-        let leaving = self.leaving.map_or(Said::Nothing, |_| Said::Value(()));
-        Signals { limit: limit.map_or(Said::Nothing, Said::Value), leaving, rest: Said::Nothing }
+        let leaving = self.leaving.map_or(SignalField::Nothing, |_| SignalField::Value(()));
+        Signals {
+            limit: limit.map_or(SignalField::Nothing, SignalField::Value),
+            leaving,
+            rest: SignalField::Nothing,
+        }
     }
 }
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -9,10 +9,10 @@
 };
 use tansyknot_fleet::{
     backpressure::{
-        Outcome, PermitRequest, Permits, Said, Signals,
+        Outcome, PermitRequest, Permits, SignalField, Signals,
         pending::{Permit, Progress},
     },
-    fleet::{Pick, Want},
+    fleet::{Pick, TargetRequirements},
     poison::key::RunKey,
     target::Target,
 };
@@ -126,7 +126,12 @@
     pub(super) fn find_target(&mut self, req: &mut Request, now: Time) -> Found {
         let state = Arc::clone(&self.network.nodes[req.daemon].state);
         let service = ServiceName::from("s");
-        let want = Want { service: &service, model: Some(&req.model), adapter: None, prefix: None };
+        let want = TargetRequirements {
+            service: &service,
+            model: Some(&req.model),
+            adapter: None,
+            prefix: None,
+        };
         let pick = state.fleet().pick(&want, &req.tried, now, &mut self.rng);
         let found = match pick {
             Pick::Target(target) => Found::Target(target),
@@ -238,14 +243,14 @@
                 let mut signals = actor.signals();
                 let mut outcome = Outcome::Ran;
                 if now < actor.rests_until {
-                    signals.rest = Said::Value(actor.rests_until.since(now));
+                    signals.rest = SignalField::Value(actor.rests_until.since(now));
                     outcome = Outcome::NotRun;
                 }
                 if self.rng.random_bool(self.troubles.garbled) {
-                    signals.limit = Said::Malformed;
+                    signals.limit = SignalField::Malformed;
                 }
                 if self.rng.random_bool(self.troubles.garbled) {
-                    signals.leaving = Said::Malformed;
+                    signals.leaving = SignalField::Malformed;
                 }
                 flight.stage = Stage::Answered(signals, outcome, now);
                 flight.next_at = now + self.span(1..150);
--- a/crates/tansyknot-fleet/tests/support/simulation.rs
+++ b/crates/tansyknot-fleet/tests/support/simulation.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use tansyknot_core::{clock::Time, name::TargetName};
 use tansyknot_fleet::{
-    dissemination::message::TargetNote,
+    dissemination::message::TargetOverride,
     target::{Target, TargetState},
 };
 
@@ -347,7 +347,7 @@
         let mut fleet = planner.state.fleet();
         let Some(state) = fleet.target(&name).map(|t| t.state) else { return };
         let models = vec![held("m5", &[])];
-        let note = TargetNote { target: name, born: None, revision, state, models };
+        let note = TargetOverride { target: name, born: None, revision, state, models };
         fleet.note(&note, planner.lease.fence(), now);
     }
 
--- a/crates/tansyknot-fleet/tests/support/store.rs
+++ b/crates/tansyknot-fleet/tests/support/store.rs
@@ -9,7 +9,7 @@
 use tansyknot_core::{Error, Result, clock::ManualClock};
 use tansyknot_fleet::{
     catalog::Catalog,
-    outside::{OwnRow, RowName, Store, TargetNews, Written},
+    platform_api::{RowName, Store, StoreRow, TargetListUpdate, WriteOutcome},
     target::Target,
 };
 
@@ -34,8 +34,8 @@
 }
 
 impl Row {
-    fn found(&self) -> Option<OwnRow> {
-        self.value.clone().map(|value| OwnRow { value, version: self.version })
+    fn found(&self) -> Option<StoreRow> {
+        self.value.clone().map(|value| StoreRow { value, version: self.version })
     }
 }
 
@@ -52,7 +52,7 @@
     row: Arc<Mutex<Row>>,
     poison: Arc<Mutex<Row>>,
     list: Arc<Mutex<List>>,
-    news: Arc<Mutex<VecDeque<TargetNews>>>,
+    news: Arc<Mutex<VecDeque<TargetListUpdate>>>,
 }
 
 /// One daemon's way to the store.
@@ -102,7 +102,7 @@
         list.targets = targets.into_iter().map(|t| Target { version, ..t }).collect();
     }
 
-    pub(crate) fn push_news(&self, news: TargetNews) {
+    pub(crate) fn push_news(&self, news: TargetListUpdate) {
         self.news.lock().expect("no test panics with it").push_back(news);
     }
 }
@@ -158,12 +158,12 @@
         Self::answer(fault, (list.targets, list.version.max(1)))
     }
 
-    fn target_changes(&self, version: u64) -> Result<TargetNews> {
+    fn target_changes(&self, version: u64) -> Result<TargetListUpdate> {
         *self.followed_from.lock().expect("no test panics with it") = version;
         *self.list_calls.lock().expect("no test panics with it") += 1;
         let fault = self.pass()?;
         let next = self.store.news.lock().expect("no test panics with it").pop_front();
-        let nothing = TargetNews::Changes { changes: Vec::new(), version };
+        let nothing = TargetListUpdate::Changes { changes: Vec::new(), version };
         Self::answer(fault, next.unwrap_or(nothing))
     }
 
@@ -180,20 +180,20 @@
         Self::answer(fault, Some((None, v)))
     }
 
-    fn row(&self, name: RowName) -> Result<Option<OwnRow>> {
+    fn row(&self, name: RowName) -> Result<Option<StoreRow>> {
         let fault = self.pass()?;
         let found = self.store.row_of(name).lock().expect("no test panics with it").found();
         Self::answer(fault, found)
     }
 
-    fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<Written> {
+    fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<WriteOutcome> {
         let fault = self.pass()?;
         let mut row = self.store.row_of(name).lock().expect("no test panics with it");
         if row.version != expected {
-            return Self::answer(fault, Written::Conflict(row.found()));
+            return Self::answer(fault, WriteOutcome::Conflict(row.found()));
         }
         row.version += 1;
         row.value = Some(value.to_vec());
-        Self::answer(fault, Written::Done(row.version))
+        Self::answer(fault, WriteOutcome::Done(row.version))
     }
 }
--- a/crates/tansyknot-fleet/tests/support/table.rs
+++ b/crates/tansyknot-fleet/tests/support/table.rs
@@ -12,14 +12,14 @@
 use tansyknot_core::{Error, Result, name::TargetName};
 use tansyknot_fleet::{
     catalog::Catalog,
-    outside::{OwnRow, RowName, Store, TargetChange, TargetNews, Written},
+    platform_api::{RowName, Store, StoreRow, TargetChange, TargetListUpdate, WriteOutcome},
     target::{Removal, Target},
 };
 
 #[derive(Default)]
 pub(crate) struct Rows {
-    planner: Option<OwnRow>,
-    poison: Option<OwnRow>,
+    planner: Option<StoreRow>,
+    poison: Option<StoreRow>,
     pub(crate) targets: BTreeMap<TargetName, Target>,
     changes: Vec<(u64, TargetChange)>,
     version: u64,
@@ -29,7 +29,7 @@
 }
 
 impl Rows {
-    fn own(&mut self, name: RowName) -> &mut Option<OwnRow> {
+    fn own(&mut self, name: RowName) -> &mut Option<StoreRow> {
         match name {
             RowName::Planner => &mut self.planner,
             RowName::Poison => &mut self.poison,
@@ -115,11 +115,11 @@
         Ok((rows.targets.values().cloned().collect(), rows.version))
     }
 
-    fn target_changes(&self, after: u64) -> Result<TargetNews> {
+    fn target_changes(&self, after: u64) -> Result<TargetListUpdate> {
         let rows = self.pass("target_changes")?;
         let newer = rows.changes.iter().filter(|(version, _)| *version > after);
         let changes = newer.map(|(_, change)| change.clone()).collect();
-        Ok(TargetNews::Changes { changes, version: rows.version })
+        Ok(TargetListUpdate::Changes { changes, version: rows.version })
     }
 
     fn catalog(&self, _: Duration) -> Result<(Option<Catalog>, u64)> {
@@ -136,7 +136,7 @@
         Ok(Some((newer.map(|(catalog, _)| catalog.clone()), rows.version)))
     }
 
-    fn row(&self, name: RowName) -> Result<Option<OwnRow>> {
+    fn row(&self, name: RowName) -> Result<Option<StoreRow>> {
         let kind = match name {
             RowName::Planner => "read_planner",
             RowName::Poison => "read_poison",
@@ -145,7 +145,7 @@
         Ok(rows.own(name).clone())
     }
 
-    fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<Written> {
+    fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<WriteOutcome> {
         let kind = match name {
             RowName::Planner => "write_planner",
             RowName::Poison => "write_poison",
@@ -153,9 +153,9 @@
         let mut rows = self.pass(kind)?;
         let row = rows.own(name);
         if row.as_ref().map_or(0, |row| row.version) != expected {
-            return Ok(Written::Conflict(row.clone()));
+            return Ok(WriteOutcome::Conflict(row.clone()));
         }
-        *row = Some(OwnRow { value: value.to_vec(), version: expected + 1 });
-        Ok(Written::Done(expected + 1))
+        *row = Some(StoreRow { value: value.to_vec(), version: expected + 1 });
+        Ok(WriteOutcome::Done(expected + 1))
     }
 }
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -7,14 +7,14 @@
 use tansyknot_core::{clock::Time, key::KeyDigest, name::TeamName};
 use tansyknot_fleet::{
     access::{
-        self, AccessOptions, Claim, Denied,
+        self, AccessOptions, Denied, RequestCredentials,
         message::Verdict,
         share::{self, SILENT_AFTER},
         team::{Quota, Team, TeamEntry, Teams, Unit},
         view::ViewOptions,
     },
     catalog::Catalog,
-    conduct::quota::{ANSWER_WITHIN, CUT_OFF_AFTER},
+    peering::quota::{ANSWER_WITHIN, CUT_OFF_AFTER},
 };
 
 use super::{hosts::Hosts, network::Network};
@@ -314,7 +314,7 @@
         let Some(catalog) = catalog else { return false };
         let Some(teams) = &catalog.teams else { return false };
         let Key { text, added, removed, .. } = &self.keys[key];
-        let claim = Claim { key: Some(text), arrived: now, version: catalog.version };
+        let claim = RequestCredentials { key: Some(text), arrived: now, version: catalog.version };
         let judged = access::identify(teams, claim, &view, &state.access.view).map(drop);
         let is_calm = self.is_calm();
         let broken = &mut self.outcome.broken;
--- a/crates/tansyknot-fleet/tests/task.rs
+++ b/crates/tansyknot-fleet/tests/task.rs
@@ -17,10 +17,10 @@
     telemetry::NoRecorder,
 };
 use tansyknot_fleet::{
-    outside::Action,
     plan::{Step, Task},
-    target::{Born, Target},
-    task::{Orders, TaskEnd},
+    platform_api::Action,
+    target::{StartTime, Target},
+    task::{TaskOutcome, TaskRunner},
 };
 use yare::parameterized;
 
@@ -28,7 +28,7 @@
     clock: ManualClock,
     daemon: Daemon,
     fake: FakeTarget,
-    orders: Orders,
+    orders: TaskRunner,
     target: Target,
 }
 
@@ -39,7 +39,7 @@
     daemon.keep();
     let target = target("t", &["m0", "m1", "m2"], &["m3"]);
     let fake = FakeTarget::listed(&daemon.state, &target);
-    let orders = Orders {
+    let orders = TaskRunner {
         state: Arc::clone(&daemon.state),
         keeper: Arc::clone(&daemon.keeper),
         lease: Arc::clone(&daemon.lease),
@@ -73,7 +73,7 @@
 #[test]
 fn models_change_places_and_everyone_is_told() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert_eq!(rig.fake.models(), ["m0", "m2", "m3"]);
     let fleet = rig.daemon.state.fleet();
     let view = fleet.target(&TargetName::from("t")).expect("it is in the view");
@@ -110,7 +110,7 @@
 fn late_order_after_a_newer_one_is_void() {
     let rig = rig();
     rig.fake.engine().faults.extend([OrderFault::Late, OrderFault::Late, OrderFault::Late]);
-    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     rig.renew();
     let found = rig.daemon.state.fleet().target(&rig.target.name).cloned();
     let view = found.expect("it is in the view");
@@ -123,7 +123,7 @@
     let rig = rig();
     rig.fake.engine().faults.push_back(OrderFault::Lost);
     let began = rig.clock.now();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert!(rig.clock.now().since(began) < Duration::from_millis(300));
     assert_eq!(rig.fake.engine().orders, 2);
 }
@@ -131,10 +131,10 @@
 #[test]
 fn task_planned_with_an_old_list_is_not_carried_out() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     rig.renew();
     // The list is as it was before the planner's own orders, as after an outage of the store.
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m0", "m4")), TaskEnd::Replan);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m0", "m4")), TaskOutcome::Replan);
     assert_eq!(rig.fake.models(), ["m0", "m2", "m3"]);
 }
 
@@ -146,7 +146,7 @@
         engine.models = vec![held("m0", &[]), held("m5", &[]), held("m6", &[])];
         engine.orders = 7;
     }
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Replan);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Replan);
     assert_eq!(rig.fake.models(), ["m0", "m5", "m6"]);
     assert_eq!(rig.fake.engine().most_models, 3);
 }
@@ -154,35 +154,35 @@
 #[test]
 fn count_that_is_too_high_is_found_out() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     // An order that the planner counted has not advanced the target's own count.
     rig.fake.engine().orders -= 1;
     rig.renew();
     let view = rig.daemon.state.fleet().target(&rig.target.name).cloned().expect("in the view");
     let began = rig.clock.now();
-    assert_ne!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskEnd::Done);
+    assert_ne!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskOutcome::Done);
     assert!(rig.clock.now().since(began) < Duration::from_millis(1200));
     rig.renew();
-    assert_eq!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskOutcome::Done);
 }
 
 #[test]
 fn nothing_is_ordered_without_the_lease() {
     let rig = rig();
     rig.clock.advance(Duration::from_secs(2));
-    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskEnd::Done);
+    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert_eq!((rig.fake.models().len(), rig.fake.engine().orders), (3, 0));
 }
 
 #[test]
 fn target_that_has_started_again_is_planned_with_anew() {
     let rig = rig();
-    rig.fake.engine().born = Some(Born(100));
-    let target = Target { born: Some(Born(100)), ..rig.target.clone() };
-    assert_eq!(rig.orders.run(&exchange(&target, "m1", "m3")), TaskEnd::Done);
+    rig.fake.engine().born = Some(StartTime(100));
+    let target = Target { born: Some(StartTime(100)), ..rig.target.clone() };
+    assert_eq!(rig.orders.run(&exchange(&target, "m1", "m3")), TaskOutcome::Done);
     {
         let mut engine = rig.fake.engine();
-        (engine.born, engine.orders) = (Some(Born(200)), 0);
+        (engine.born, engine.orders) = (Some(StartTime(200)), 0);
         engine.models.clear();
     }
     rig.renew();
@@ -190,19 +190,19 @@
     let held = rig.daemon.state.fleet().target(&TargetName::from("t")).cloned();
     let former = Target::clone(&held.expect("it is in the view"));
     let sent = rig.orders.run(&exchange(&former, "m0", "m1"));
-    assert_ne!(sent, TaskEnd::Done);
+    assert_ne!(sent, TaskOutcome::Done);
     assert_eq!(rig.fake.engine().orders, 0);
     // Planned with the new run, whose count begins at zero.
-    let anew = Target { born: Some(Born(200)), models: Vec::new(), version: 99, ..rig.target };
+    let anew = Target { born: Some(StartTime(200)), models: Vec::new(), version: 99, ..rig.target };
     let step = Step {
         action: Action::Load { model: ModelName::from("m1"), adapter: None },
         takes: Duration::ZERO,
     };
     rig.daemon.state.fleet().apply(
-        tansyknot_fleet::outside::TargetChange::Put(Box::new(anew.clone())),
+        tansyknot_fleet::platform_api::TargetChange::Put(Box::new(anew.clone())),
         rig.clock.now(),
     );
     let task = Task { target: Arc::new(anew), steps: vec![step] };
-    assert_eq!(rig.orders.run(&task), TaskEnd::Done);
+    assert_eq!(rig.orders.run(&task), TaskOutcome::Done);
     assert_eq!(rig.fake.models(), ["m1"]);
 }
--- a/crates/tansyknot-fleet/tests/versions.rs
+++ b/crates/tansyknot-fleet/tests/versions.rs
@@ -12,13 +12,13 @@
 };
 use tansyknot_fleet::{
     dissemination::{
-        changes::{Change, Entry, ListRead, WholeRead},
-        followed::Followed,
-        message::TargetNote,
+        changes::{Change, Entry, FullRead, ListRead},
+        message::TargetOverride,
+        planner_view::PlannerView,
     },
     fleet::{Fleet, LAPSE_GRACE},
-    outside::TargetChange,
-    spans::Spans,
+    freshness::FreshnessLimits,
+    platform_api::TargetChange,
     target::{Removal, Target, TargetState},
 };
 use yare::parameterized;
@@ -43,7 +43,7 @@
 
 /// Makes a view that has read `t1`, of version 5, as of version 10.
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("z1"), Spans::default());
+    let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
     fleet.set_all(vec![entry("t1", 5)], 10, None, at(0));
     fleet.read(10, at(0));
     fleet
@@ -86,7 +86,7 @@
 #[test]
 fn entry_written_before_a_target_began_to_leave_does_not_undo_a_note_of_it() {
     let mut fleet = fleet();
-    let note = TargetNote {
+    let note = TargetOverride {
         target: TargetName::from("t1"),
         born: None,
         revision: 1,
@@ -111,10 +111,10 @@
 
 #[test]
 fn planner_that_has_not_read_the_list_is_not_joined() {
-    let mut follower = Followed::default();
+    let mut follower = PlannerView::default();
     let mark = follower.before_call();
     follower.after_call(mark, 9);
-    let mut log = Fleet::new(ZoneName::from("z1"), Spans::default()).log;
+    let mut log = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default()).log;
     follower.list(FENCE, log.news(0, ListRead::default(), at(0)), at(0));
     assert!(follower.is_missing());
     assert_eq!(log.known_at(9), None);
@@ -133,10 +133,10 @@
     version: u64,
     is_gapped: bool,
 ) {
-    let mut fleet = Fleet::new(ZoneName::from("z1"), Spans::default());
+    let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
     fleet.set_all(vec![entry("t1", 5)], version, None, at(0));
     fleet.read(version, at(0));
-    let whole = WholeRead { after: 12, version: 20 };
+    let whole = FullRead { after: 12, version: 20 };
     fleet.apply_news(Change::Whole(whole), FENCE, at(10));
     assert_eq!(fleet.is_gapped(), is_gapped);
     fleet.set_all(vec![entry("t1", 5)], 21, Some(version), at(20));
@@ -153,7 +153,7 @@
     is_gapped: bool,
 ) {
     let mut fleet = fleet();
-    fleet.apply_news(Change::Whole(WholeRead { after: 12, version: 20 }), FENCE, at(10));
+    fleet.apply_news(Change::Whole(FullRead { after: 12, version: 20 }), FENCE, at(10));
     assert!(!fleet.is_gapped());
     fleet.apply(put("t2", 13), at(20));
     fleet.read(version, at(5));
@@ -187,7 +187,7 @@
     let mut fleet = returned();
     fleet.apply(TargetChange::Removed(removal("t1", 21)), at(4_600));
     assert!(takes_work(&fleet, "t1", at(4_700)));
-    let spans = Spans::default();
+    let spans = FreshnessLimits::default();
     let end = at(4_600) + (spans.list - spans.list_pace);
     assert!(!takes_work(&fleet, "t1", end));
 }
--- a/crates/tansyknot-fleet/tests/view.rs
+++ b/crates/tansyknot-fleet/tests/view.rs
@@ -13,13 +13,13 @@
 use tansyknot_fleet::{
     dissemination::{
         changes::{Change, ListRead},
-        followed::Followed,
-        message::{Coming, TargetLoad, TargetNote},
+        message::{PendingLoad, TargetLoad, TargetOverride},
+        planner_view::PlannerView,
     },
-    fleet::{self, Fleet, Pick, Want, Whole},
-    outside::TargetChange,
-    spans::Spans,
-    target::{Born, Removal, Target, TargetState},
+    fleet::{self, Fleet, Pick, TargetRequirements, UpdateId},
+    freshness::FreshnessLimits,
+    platform_api::TargetChange,
+    target::{Removal, StartTime, Target, TargetState},
 };
 use yare::parameterized;
 
@@ -34,8 +34,8 @@
 }
 
 impl Wants {
-    fn get(&self) -> Want<'_> {
-        Want {
+    fn get(&self) -> TargetRequirements<'_> {
+        TargetRequirements {
             service: &self.service,
             model: Some(&self.model),
             adapter: self.adapter.as_ref(),
@@ -49,7 +49,7 @@
 }
 
 fn fleet(targets: Vec<Target>) -> Fleet {
-    let mut fleet = Fleet::new(ZoneName::from("z1"), Spans::default());
+    let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
     fleet.signals_synced();
     fleet.set_all(targets, 1, None, at(0));
     fleet
@@ -72,8 +72,8 @@
     TargetChange::Put(Box::new(t))
 }
 
-fn note(name: &str, revision: u64, models: &[&str]) -> TargetNote {
-    TargetNote {
+fn note(name: &str, revision: u64, models: &[&str]) -> TargetOverride {
+    TargetOverride {
         target: TargetName::from(name),
         born: None,
         revision,
@@ -189,8 +189,8 @@
     assert_eq!(pick(&mut f, &want, &[], at(0)), "t1");
 }
 
-fn news(beat: u32) -> Whole {
-    Whole { fence: 1, beat }
+fn news(beat: u32) -> UpdateId {
+    UpdateId { fence: 1, beat }
 }
 
 fn load(target: &str, requests: u16) -> TargetLoad {
@@ -228,12 +228,12 @@
 #[test]
 fn every_model_that_comes_is_known() {
     let mut f = fleet(vec![]);
-    let coming = |n: u32| Coming {
+    let coming = |n: u32| PendingLoad {
         service: wants("m0").service.clone(),
         model: ModelName::from(format!("m{n}").as_str()),
         in_ms: 500,
     };
-    let all: Vec<Coming> = (0..30).map(coming).collect();
+    let all: Vec<PendingLoad> = (0..30).map(coming).collect();
     f.note_loads(news(1), &[], &all[..20], at(0));
     f.note_loads(news(1), &[], &all[20..], at(0));
     for n in 0..30 {
@@ -248,11 +248,11 @@
 fn request_that_lacks_an_adapter_does_not_wait_for_another_copy_of_its_model() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
     let service = wants("m0").service.clone();
-    let coming = Coming { service, model: ModelName::from("m0"), in_ms: 6000 };
+    let coming = PendingLoad { service, model: ModelName::from("m0"), in_ms: 6000 };
     f.note_loads(news(1), &[], &[coming], at(0));
     let adapter = AdapterName::from("a1");
     let wants = wants("m0");
-    let want = Want { adapter: Some(&adapter), ..wants.get() };
+    let want = TargetRequirements { adapter: Some(&adapter), ..wants.get() };
     assert_eq!(f.expected(&want, at(0)), None);
 }
 
@@ -278,7 +278,7 @@
     let now = ListRead { age: Duration::ZERO, version: 5 };
     let news = f.log.news(0, now, at(0));
     assert!(news.changes.is_empty());
-    let mut follower = Followed::default();
+    let mut follower = PlannerView::default();
     follower.list(1, news.clone(), at(0));
     assert!(follower.is_missing(), "whoever has not read the list must");
     let mark = follower.before_call();
@@ -295,14 +295,14 @@
 
 fn run_of(born: u64, version: u64, models: &[&str]) -> TargetChange {
     let t = target("t1", models, &["m0"]);
-    TargetChange::Put(Box::new(Target { born: Some(Born(born)), version, ..t }))
+    TargetChange::Put(Box::new(Target { born: Some(StartTime(born)), version, ..t }))
 }
 
 #[test]
 fn target_that_starts_again_under_its_name_holds_nothing_of_before() {
     let mut f = fleet(vec![]);
     f.apply(run_of(100, 5, &["m0"]), at(0));
-    let noted = TargetNote { born: Some(Born(100)), ..note("t1", 3, &["m1"]) };
+    let noted = TargetOverride { born: Some(StartTime(100)), ..note("t1", 3, &["m1"]) };
     f.note(&noted, 7, at(10));
     f.note_loads(news(1), &[load("t1", 7)], &[], at(10));
     f.apply(run_of(200, 6, &[]), at(20));
@@ -311,7 +311,7 @@
     // The planner's note of the former run, told again, is not about this one.
     f.note(&noted, 7, at(40));
     assert_eq!(pick(&mut f, &wants("m1"), &[], at(50)), "not loaded");
-    f.note(&TargetNote { born: Some(Born(200)), ..note("t1", 4, &["m2"]) }, 7, at(60));
+    f.note(&TargetOverride { born: Some(StartTime(200)), ..note("t1", 4, &["m2"]) }, 7, at(60));
     assert_eq!(pick(&mut f, &wants("m2"), &[], at(70)), "t1");
 }
 
@@ -340,5 +340,5 @@
         }
     }
     let born = follower.target(&TargetName::from("t1")).and_then(|t| t.born);
-    assert_eq!(born, Some(Born(200)));
+    assert_eq!(born, Some(StartTime(200)));
 }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -21,18 +21,18 @@
 use tansyknot_fleet::{
     access::{AccessOptions, view::ViewOptions},
     budget::BudgetOptions,
-    conduct::{Conductor, Me},
-    counted::CountedStore,
     follow::{ConfigFollower, TargetFollower},
-    keep::{Keeper, Reluctance, SharedLease},
-    lease::{Holder, LeaseOptions},
-    outside::Store,
-    poison::keep::PoisonKeeper,
+    freshness::{Bounds, FreshnessLimits},
+    instrumented_store::InstrumentedStore,
+    lease::{LeaseHolder, LeaseOptions},
+    lease_keeper::{LeaseKeeper, Reluctance, SharedLease},
+    peering::{DaemonIdentity, PeerNode},
+    platform_api::Store,
+    poison::keeper::PoisonKeeper,
     serve::Server,
-    spans::{Bounds, Spans},
+    shutdown::ShutdownPlan,
     state::{State, StateOptions},
-    stop::StopPlan,
-    task::Orders,
+    task::TaskRunner,
 };
 use tansyknot_http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions};
 
@@ -50,7 +50,7 @@
 /// A running daemon.
 pub struct FleetDaemon {
     lifecycle: Arc<Lifecycle>,
-    keeper: Arc<Keeper>,
+    keeper: Arc<LeaseKeeper>,
     grace: Duration,
 }
 
@@ -72,14 +72,15 @@
         let state = Arc::new(State::new(settings.availability_zone.clone(), options, clock));
         let recorder = Arc::new(PageRecorder::default());
         let store = Arc::new(RowStore::new(settings.store, spans.config_wait));
-        let store: Arc<dyn Store> = Arc::new(CountedStore::new(store, Arc::clone(&recorder) as _));
+        let store: Arc<dyn Store> =
+            Arc::new(InstrumentedStore::new(store, Arc::clone(&recorder) as _));
         let lease = Arc::new(SharedLease::default());
         let host = settings.listen.host;
         let socket = UdpSocket::bind(SocketAddr::new(host, settings.listen.peers_port))?;
         let peers = socket.local_addr()?;
         let incarnation: Arc<str> = name::random_id().into();
         let daemon: Arc<str> = settings.name.as_str().into();
-        let me = Holder {
+        let me = LeaseHolder {
             daemon: Arc::clone(&daemon),
             incarnation: Arc::clone(&incarnation),
             address: peers,
@@ -90,7 +91,7 @@
             all_rest: 0,
         };
         let options = LeaseOptions { turn: settings.bounds.order_turn.duration() };
-        let keeper = Arc::new(Keeper::new(
+        let keeper = Arc::new(LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
             Arc::clone(&lease),
@@ -98,7 +99,7 @@
             options,
             reluctance(settings),
         ));
-        let orders = Arc::new(Orders {
+        let orders = Arc::new(TaskRunner {
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
@@ -109,14 +110,14 @@
             ledger: Mutex::default(),
         });
         let socket = Arc::new(socket);
-        let me = Me {
+        let me = DaemonIdentity {
             daemon: settings.name.as_str().into(),
             incarnation,
             address: peers,
             zone: settings.availability_zone.clone(),
             link_mbps: settings.link_mbps.map(|mbps| mbps as u32),
         };
-        let conductor = Conductor::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
+        let conductor = PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
         let conductor = Arc::new(conductor);
         let lifecycle = Arc::new(Lifecycle::default());
         let targets_known = Arc::new(AtomicBool::new(false));
@@ -176,7 +177,7 @@
         self.lifecycle.drain();
         event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.busy())]);
         self.keeper.release();
-        let plan = StopPlan::of(self.grace);
+        let plan = ShutdownPlan::of(self.grace);
         while began.elapsed() < plan.cut_after {
             let refuses = began.elapsed() >= plan.refuse_after;
             if refuses {
@@ -193,8 +194,8 @@
     }
 }
 
-fn spans(settings: &FleetSettings) -> Spans {
-    Spans::of(&Bounds {
+fn spans(settings: &FleetSettings) -> FreshnessLimits {
+    FreshnessLimits::of(&Bounds {
         leave_within: settings.bounds.leave_within.duration(),
         config_within: settings.bounds.config_within.duration(),
         heartbeat: settings.bounds.heartbeat.duration(),
@@ -255,7 +256,7 @@
     Ok(address)
 }
 
-fn keep(keeper: &Arc<Keeper>) {
+fn keep(keeper: &Arc<LeaseKeeper>) {
     let keeper = Arc::clone(keeper);
     spawn("lease", move || {
         loop {
@@ -264,7 +265,7 @@
     });
 }
 
-fn converse(conductor: &Arc<Conductor>, socket: Arc<UdpSocket>) {
+fn converse(conductor: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
     let rx = Arc::clone(conductor);
     spawn("peers", move || {
         if let Err(e) = rx.receive(&socket) {
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -4,9 +4,9 @@
 
 use tansyknot_core::clock::{BootInstant, Time};
 use tansyknot_fleet::{
-    conduct::Conductor,
     follow::{ConfigFollower, TargetFollower},
-    poison::keep::{self, PoisonKeeper},
+    peering::PeerNode,
+    poison::keeper::{self, PoisonKeeper},
     state::State,
 };
 
@@ -23,14 +23,14 @@
 pub(super) fn keep_poison(
     keeper: Arc<PoisonKeeper>,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    conductor: &Arc<PeerNode>,
 ) {
     let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
     spawn("poison", move || {
         loop {
             let seen = state.poison_changed.count();
             if keeper.step(conductor.is_planner()) {
-                state.clock.sleep(keep::RETRY);
+                state.clock.sleep(keeper::RETRY);
                 continue;
             }
             state.poison_changed.wait(seen, POISON_LOOK);
@@ -43,13 +43,13 @@
 pub(super) fn follow_config(
     mut follower: ConfigFollower,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    conductor: &Arc<PeerNode>,
     poison: Arc<PoisonKeeper>,
 ) {
     let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
     spawn("config", move || {
         while !poison.read() {
-            state.clock.sleep(keep::RETRY);
+            state.clock.sleep(keeper::RETRY);
         }
         let mut was_planner = false;
         loop {
@@ -85,7 +85,7 @@
 }
 
 /// Waits as long as the planner's news of the configuration are fresh.
-fn await_config_call(state: &State, conductor: &Conductor) {
+fn await_config_call(state: &State, conductor: &PeerNode) {
     loop {
         let seen = state.call_due.count();
         let mine = state.catalog().map_or(0, |c| c.version);
@@ -101,7 +101,7 @@
 pub(super) fn follow_targets(
     mut follower: TargetFollower,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    conductor: &Arc<PeerNode>,
 ) {
     let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
     spawn("targets", move || {
@@ -127,7 +127,7 @@
 }
 
 /// Waits until the list is to be followed again, sooner if a load is due.
-fn pause_planner(state: &State, conductor: &Conductor) {
+fn pause_planner(state: &State, conductor: &PeerNode) {
     let began = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
@@ -142,7 +142,7 @@
 }
 
 /// Waits at least for `least`, and as long as the planner's news of the list are fresh.
-fn await_list_call(state: &State, conductor: &Conductor, least: Duration) {
+fn await_list_call(state: &State, conductor: &PeerNode, least: Duration) {
     let until = state.now() + least;
     loop {
         let seen = state.call_due.count();
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -10,7 +10,7 @@
 };
 
 use tansyknot_core::{clock::Time, event, metric, name::ServiceName, telemetry::Recorder};
-use tansyknot_fleet::{conduct::Conductor, keep::SharedLease, state::State};
+use tansyknot_fleet::{lease_keeper::SharedLease, peering::PeerNode, state::State};
 use tansyknot_http::{
     respond::{self, After, Whole},
     server::{Handler, Lifecycle, Request},
@@ -55,7 +55,7 @@
     pub(super) recorder: Arc<PageRecorder>,
     pub(super) state: Arc<State>,
     pub(super) lease: Arc<SharedLease>,
-    pub(super) conductor: Arc<Conductor>,
+    pub(super) conductor: Arc<PeerNode>,
 }
 
 impl MetricsPage {
