--- a/crates/tansyknot-fleet/src/state.rs
+++ b/crates/tansyknot-fleet/src/state.rs
@@ -42,7 +42,7 @@
 
 impl Notifier {
     /// Wakes all waiting threads.
-    pub fn raise(&self) {
+    pub fn notify(&self) {
         *self.count.lock().expect("no holder of the lock panics") += 1;
         self.changed.notify_all();
     }
@@ -74,7 +74,7 @@
     /// Whether the last call that followed the store failed.
     pub is_lost: bool,
     /// When the store last responded again after failed calls.
-    pub returned: Option<Time>,
+    pub returned_at: Option<Time>,
 }
 
 /// Estimates of how long requests wait for loads that succeed.
@@ -107,15 +107,15 @@
     /// sent, or a request is convicted.
     pub poison_changed: Notifier,
     /// Raised when the reply to a quota request has arrived.
-    pub quota_answered: Notifier,
+    pub quota_reply_received: Notifier,
     /// Raised at the deciding daemon when a request asks for a permit at a target that announces a
     /// limit.
     pub permits_changed: Notifier,
     /// Raised when a call to the store may be due: after an update from the planner, or when the
     /// store responds again.
-    pub call_due: Notifier,
+    pub store_call_due: Notifier,
     fleet: Mutex<Fleet>,
-    followed: Mutex<PlannerView>,
+    planner_view: Mutex<PlannerView>,
     peers: Mutex<Peers>,
     poison: Mutex<Poison>,
     key_view: Mutex<KeyView>,
@@ -154,11 +154,11 @@
             targets_changed: Notifier::default(),
             demand_changed: Notifier::default(),
             poison_changed: Notifier::default(),
-            quota_answered: Notifier::default(),
+            quota_reply_received: Notifier::default(),
             permits_changed: Notifier::default(),
-            call_due: Notifier::default(),
+            store_call_due: Notifier::default(),
             fleet: Mutex::new(Fleet::new(zone, spans)),
-            followed: Mutex::new(PlannerView::new(spans)),
+            planner_view: Mutex::new(PlannerView::new(spans)),
             peers: Mutex::default(),
             poison: Mutex::new(Poison::new(started)),
             key_view: Mutex::default(),
@@ -194,8 +194,8 @@
     /// # Panics
     ///
     /// Panics if the lock is poisoned.
-    pub fn followed(&self) -> MutexGuard<'_, PlannerView> {
-        self.followed.lock().expect("no holder of the lock panics")
+    pub fn planner_view(&self) -> MutexGuard<'_, PlannerView> {
+        self.planner_view.lock().expect("no holder of the lock panics")
     }
 
     /// Returns the daemons that the planner has announced.
@@ -244,12 +244,12 @@
     }
 
     /// Returns the time since this daemon started.
-    pub fn runs_for(&self, now: Time) -> Duration {
+    pub fn uptime(&self, now: Time) -> Duration {
         now.since(self.started)
     }
 
     /// Returns the configuration in force, and the view of its keys.
-    pub fn in_force(&self) -> (Option<Arc<Catalog>>, KeyView) {
+    pub fn active_catalog_and_keys(&self) -> (Option<Arc<Catalog>>, KeyView) {
         let view = self.key_view();
         (self.catalog(), *view)
     }
@@ -260,30 +260,30 @@
         let mut view = self.key_view();
         let version = catalog.version;
         let is_newer = self.set_catalog(catalog);
-        view.in_force(version, as_of);
+        view.record_in_force(version, as_of);
         is_newer
     }
 
     /// Returns whether the view of the keys is fresh enough to validate them; `true` if requests
     /// need no key.
-    pub fn knows_keys(&self) -> bool {
-        self.keys_age().is_none_or(|age| age <= self.access.view.good_for)
+    pub fn keys_are_fresh(&self) -> bool {
+        self.keys_age().is_none_or(|age| age <= self.access.view.accept_known_for)
     }
 
     /// Returns how long the view of the keys stays fresh enough without a call to the store.
     pub fn keys_fresh_for(&self) -> Duration {
-        let left = |age| self.access.view.ask_after().saturating_sub(age);
+        let left = |age| self.access.view.refresh_after().saturating_sub(age);
         self.keys_age().map_or(Duration::MAX, left)
     }
 
     /// Returns whether requests need keys under the configuration in force.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.catalog().is_some_and(|c| c.teams.is_some())
     }
 
     /// Returns the age of the view of the keys; `None` if requests need no key.
     fn keys_age(&self) -> Option<Duration> {
-        let (catalog, view) = self.in_force();
+        let (catalog, view) = self.active_catalog_and_keys();
         let catalog = catalog.filter(|c| c.teams.is_some())?;
         Some(view.age(catalog.version, self.now()))
     }
@@ -292,7 +292,7 @@
     /// trial is allowed now; returns whether it did.
     pub fn begin_trial(&self, key: RequestKey) -> bool {
         let now = self.now();
-        let is_assigned = self.peers().falls_to_me(key.short(), now);
+        let is_assigned = self.peers().is_assigned_to_me(key.short_hash(), now);
         is_assigned && self.poison().begin_trial(key, now)
     }
 
@@ -304,13 +304,13 @@
         let now = self.now();
         let (merged, has_unsent) = {
             let mut poison = self.poison();
-            (poison.merge(evidence, now), poison.has_untold())
+            (poison.merge(evidence, now), poison.has_unsent())
         };
         if merged.convicts {
-            self.targets_changed.raise();
+            self.targets_changed.notify();
         }
         if merged.convicts || has_unsent {
-            self.poison_changed.raise();
+            self.poison_changed.notify();
         }
         merged
     }
@@ -320,21 +320,22 @@
     /// # Panics
     ///
     /// Panics if the lock is poisoned.
-    pub fn contacts(&self) -> MutexGuard<'_, Contacts> {
+    pub fn store_contacts(&self) -> MutexGuard<'_, Contacts> {
         self.contacts.lock().expect("no holder of the lock panics")
     }
 
     /// Returns the interval between calls for the list while there are no updates from a planner.
     /// It grows with the number of daemons.
-    pub fn list_pace(&self) -> Duration {
-        let interval = Duration::from_secs_f64(self.fleet().daemons() as f64 / LIST_CALLS_PER_S);
-        interval.clamp(self.spans.list_pace, self.spans.list)
+    pub fn list_poll_interval(&self) -> Duration {
+        let interval =
+            Duration::from_secs_f64(self.fleet().daemon_count() as f64 / LIST_CALLS_PER_S);
+        interval.clamp(self.spans.list_poll_interval, self.spans.max_list_age)
     }
 
     /// Returns how long the view of the list stays fresh enough without a call to the store.
     pub fn list_fresh_for(&self, now: Time) -> Duration {
-        let has_gap = self.fleet().is_gapped();
-        if has_gap { Duration::ZERO } else { self.followed().list_fresh_for(now) }
+        let has_gap = self.fleet().has_gap();
+        if has_gap { Duration::ZERO } else { self.planner_view().list_fresh_for(now) }
     }
 
     /// Returns how long version `own_version` of the configuration stays fresh enough without a
@@ -342,43 +343,43 @@
     /// the planner has announced no newer version.
     pub fn config_fresh_for(&self, own_version: u64) -> Duration {
         let now = self.now();
-        let own = self.contacts().config;
+        let own = self.store_contacts().config;
         let keys = self.keys_fresh_for();
-        let followed = self.followed();
-        let own = own.filter(|_| followed.config_version() <= own_version);
-        let own_left =
-            own.map_or(Duration::ZERO, |at| self.spans.config.saturating_sub(now.since(at)));
-        followed.config_fresh_for(own_version, now).max(own_left).min(keys)
+        let view = self.planner_view();
+        let own = own.filter(|_| view.config_version() <= own_version);
+        let own_left = own
+            .map_or(Duration::ZERO, |at| self.spans.max_config_age.saturating_sub(now.since(at)));
+        view.config_fresh_for(own_version, now).max(own_left).min(keys)
     }
 
     /// Wakes the requests that wait for a target, and the planner, after a change of the view.
-    pub fn view_changed(&self) {
-        self.targets_changed.raise();
-        self.demand_changed.raise();
+    pub fn notify_view_changed(&self) {
+        self.targets_changed.notify();
+        self.demand_changed.notify();
     }
 
     /// Records that the store does not respond.
     pub fn store_lost(&self) {
-        self.contacts().is_lost = true;
+        self.store_contacts().is_lost = true;
     }
 
     /// Records that the store responds again, and wakes the threads that delay their calls after a
     /// failure.
     pub fn store_returned(&self) {
         {
-            let mut contacts = self.contacts();
+            let mut contacts = self.store_contacts();
             contacts.is_lost = false;
-            contacts.returned = Some(self.now());
+            contacts.returned_at = Some(self.now());
         }
-        self.call_due.raise();
+        self.store_call_due.notify();
     }
 
     /// Returns whether the store does not respond, or has not responded within the usual startup
     /// time.
-    pub fn store_is_away(&self) -> bool {
+    pub fn store_is_unavailable(&self) -> bool {
         let is_starting_late =
             self.catalog().is_none() && self.now().since(self.started) > USUAL_STARTUP;
-        is_starting_late || self.contacts().is_lost
+        is_starting_late || self.store_contacts().is_lost
     }
 
     /// Returns the estimates of how long requests wait for loads.
@@ -420,9 +421,13 @@
     /// Panics if the lock is poisoned.
     pub fn count_first_send(&self, service: &ServiceName) {
         let now = self.now();
-        let share = self.budget_share(now);
+        let share = self.budget_allotment(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        budgets.entry(service.clone()).or_default().first(now, share, &self.budget_options);
+        budgets.entry(service.clone()).or_default().count_first_send(
+            now,
+            share,
+            &self.budget_options,
+        );
     }
 
     /// Takes one retry from the service's retry budget; returns whether one was left.
@@ -430,15 +435,15 @@
     /// # Panics
     ///
     /// Panics if the lock is poisoned.
-    pub fn take_second_send(&self, service: &ServiceName) -> bool {
+    pub fn take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
-        let share = self.budget_share(now);
+        let share = self.budget_allotment(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        budgets.entry(service.clone()).or_default().take(now, share, &self.budget_options)
+        budgets.entry(service.clone()).or_default().take_retry(now, share, &self.budget_options)
     }
 
-    fn budget_share(&self, now: Time) -> Allotment {
-        Allotment { daemons: self.fleet().daemons(), running: now.since(self.started) }
+    fn budget_allotment(&self, now: Time) -> Allotment {
+        Allotment { daemons: self.fleet().daemon_count(), uptime: now.since(self.started) }
     }
 
     /// Returns what this daemon has spent of each service's retry budget, and its allowance.
@@ -448,7 +453,7 @@
     /// Panics if the lock is poisoned.
     pub fn retries(&self) -> Vec<(ServiceName, Retries)> {
         let now = self.now();
-        let share = self.budget_share(now);
+        let share = self.budget_allotment(now);
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
         let retries = |budget: &mut Budget| budget.retries(now, share, &self.budget_options);
         budgets.iter_mut().map(|(service, budget)| (service.clone(), retries(budget))).collect()
--- a/crates/tansyknot-fleet/src/target.rs
+++ b/crates/tansyknot-fleet/src/target.rs
@@ -51,7 +51,7 @@
     /// The target's unique name.
     pub name: TargetName,
     /// The start time of this run, if the target reports it.
-    pub born: Option<StartTime>,
+    pub started_at: Option<StartTime>,
     /// The service that it serves.
     pub service: ServiceName,
     /// The address on which it listens. Another incarnation may have the address later.
@@ -74,13 +74,13 @@
 
 impl Target {
     /// Returns a model if it is loaded.
-    pub fn held(&self, model: &ModelName) -> Option<&LoadedModel> {
+    pub fn loaded_model(&self, model: &ModelName) -> Option<&LoadedModel> {
         self.models.iter().find(|h| h.model == *model)
     }
 
     /// Returns whether the model and, if one is named, the adapter are loaded.
     pub fn holds(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
-        let Some(held) = self.held(model) else { return false };
+        let Some(held) = self.loaded_model(model) else { return false };
         adapter.is_none_or(|a| held.adapters.contains(a))
     }
 
@@ -107,7 +107,7 @@
     /// Whether it is carrying out an order.
     pub busy: bool,
     /// The number of orders that it has accepted.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// The models that are loaded.
     pub models: Vec<LoadedModel>,
 }
--- a/crates/tansyknot-fleet/src/task.rs
+++ b/crates/tansyknot-fleet/src/task.rs
@@ -62,7 +62,7 @@
     /// This daemon's name.
     pub daemon: Arc<str>,
     /// Number of loads whose expected time is over and that do not show in the list of targets yet.
-    pub due: AtomicUsize,
+    pub overdue_loads: AtomicUsize,
     /// The orders that targets have accepted from this planner.
     pub ledger: Mutex<Ledger>,
 }
@@ -160,7 +160,7 @@
             let needs_replan = reason == StopReason::Outdated;
             return if needs_replan { TaskOutcome::Replan } else { TaskOutcome::Failed };
         }
-        let started_at = progress.target.born;
+        let started_at = progress.target.started_at;
         let entry = LedgerEntry { started_at, orders: progress.orders, models: progress.models };
         self.ledger().targets.insert(task.target.name.clone(), entry);
         TaskOutcome::Done
@@ -181,7 +181,7 @@
     /// Determines how many orders the target has accepted, and checks that its loaded models are
     /// those that the plan assumed.
     fn begin(&self, progress: &mut Progress) -> Result<(), StopReason> {
-        let fence = self.keeper.cover(&progress.target.name).ok_or(StopReason::LeaseLost)?;
+        let fence = self.keeper.add_target(&progress.target.name).ok_or(StopReason::LeaseLost)?;
         let recorded = {
             let mut ledger = self.ledger();
             if ledger.fence != fence {
@@ -189,14 +189,15 @@
             }
             ledger.targets.get(&progress.target.name).cloned()
         };
-        let recorded = recorded
-            .filter(|recorded| target::may_be_same_run(recorded.started_at, progress.target.born));
+        let recorded = recorded.filter(|recorded| {
+            target::may_be_same_run(recorded.started_at, progress.target.started_at)
+        });
         if let Some(recorded) = recorded {
             progress.orders = recorded.orders;
             return self.check_models(progress, recorded.models);
         }
         let report = self.report(progress)?;
-        progress.orders = report.orders;
+        progress.orders = report.accepted_orders;
         if report.busy {
             return Err(StopReason::Overtaken);
         }
@@ -242,7 +243,7 @@
         apply(&mut progress.models, &step.action);
         match &step.action {
             Action::Load { model, adapter: None } if ordered == OrderReply::Accepted => {
-                self.await_load(progress, model, step.takes).inspect_err(|_| {
+                self.await_load(progress, model, step.expected_duration).inspect_err(|_| {
                     // The next task's report shows whether the model is loaded.
                     progress.models.retain(|h| h.model != *model);
                 })?;
@@ -284,7 +285,7 @@
                     if conflicts > MAX_CONFLICTS {
                         return Err(StopReason::Overtaken);
                     }
-                    self.pause(backoff::grown(
+                    self.pause(backoff::exponential(
                         MIN_CONFLICT_DELAY,
                         conflicts - 1,
                         MAX_CONFLICT_DELAY,
@@ -315,17 +316,17 @@
     /// Sends an order once; `None` if no response came.
     fn send(&self, progress: &Progress, action: &Action) -> Result<Option<OrderReply>, StopReason> {
         let name = &progress.target.name;
-        let fence = self.keeper.cover(name).ok_or(StopReason::LeaseLost)?;
+        let fence = self.keeper.add_target(name).ok_or(StopReason::LeaseLost)?;
         let order = Order {
             action: action.clone(),
-            expected: progress.orders,
+            expected_orders: progress.orders,
             holder: Arc::clone(&self.daemon),
             fence,
         };
         let still_allowed = || {
             let now = self.now();
             let allowed = self.lease.may_order(name, now) == Some(fence);
-            self.lease.ordered(name, now);
+            self.lease.record_order(name, now);
             allowed
         };
         match self.targets.order(&progress.target, &order, &still_allowed) {
@@ -345,11 +346,11 @@
         apply(&mut expected, action);
         for _ in 0..MAX_LOAD_REPORTS {
             let report = self.report(progress)?;
-            if report.orders <= progress.orders {
+            if report.accepted_orders <= progress.orders {
                 return Ok(false);
             }
             if !report.busy {
-                progress.orders = report.orders;
+                progress.orders = report.accepted_orders;
                 if same_models(&report.models, &expected) {
                     return Ok(true);
                 }
@@ -377,11 +378,11 @@
         is_settled: bool,
     ) -> Result<(), StopReason> {
         let report = self.report(progress)?;
-        let may_be_old = report.orders < progress.orders && !is_settled;
-        if report.orders == progress.orders || may_be_old {
+        let may_be_old = report.accepted_orders < progress.orders && !is_settled;
+        if report.accepted_orders == progress.orders || may_be_old {
             return Ok(());
         }
-        progress.orders = report.orders;
+        progress.orders = report.accepted_orders;
         if !report.busy {
             progress.models = report.models;
         }
@@ -393,7 +394,7 @@
             log::debug!("target {} did not send a report: {e}", progress.target.name);
             StopReason::Unresponsive
         })?;
-        let is_same = target::may_be_same_run(progress.target.born, report.born);
+        let is_same = target::may_be_same_run(progress.target.started_at, report.born);
         if is_same { Ok(report) } else { Err(StopReason::Restarted) }
     }
 
@@ -409,10 +410,14 @@
         let mut fleet = self.state.fleet();
         let target = progress.target.name.clone();
         let Some(state) = fleet.target(&target).map(|t| t.state) else { return };
-        let born = progress.target.born;
-        fleet.note(&TargetOverride { target, born, revision, state, models }, fence, now);
+        let started_at = progress.target.started_at;
+        fleet.apply_override(
+            &TargetOverride { target, started_at, revision, state, models },
+            fence,
+            now,
+        );
         drop(fleet);
-        self.state.view_changed();
+        self.state.notify_view_changed();
     }
 
     fn pause(&self, duration: Duration) {
--- a/crates/tansyknot-fleet/src/task/load.rs
+++ b/crates/tansyknot-fleet/src/task/load.rs
@@ -22,10 +22,10 @@
     ) -> Result<(), StopReason> {
         let began = self.now();
         self.pause(expected);
-        self.due.fetch_add(1, Ordering::SeqCst);
-        self.state.demand_changed.raise();
+        self.overdue_loads.fetch_add(1, Ordering::SeqCst);
+        self.state.demand_changed.notify();
         let is_loaded = self.poll_until_loaded(progress, model);
-        self.due.fetch_sub(1, Ordering::SeqCst);
+        self.overdue_loads.fetch_sub(1, Ordering::SeqCst);
         if is_loaded {
             self.recorder.time(
                 metric::LOAD.name,
@@ -57,7 +57,9 @@
             }
             match self.targets.report(&progress.target) {
                 Ok(report) if report.models.iter().any(|h| h.model == *model) => return true,
-                Ok(report) if !report.busy && report.orders >= progress.orders => return false,
+                Ok(report) if !report.busy && report.accepted_orders >= progress.orders => {
+                    return false;
+                }
                 Ok(_) => {}
                 Err(_) => return false,
             }
@@ -67,6 +69,6 @@
     }
 
     fn is_listed(&self, target: &TargetName, model: &ModelName) -> bool {
-        self.state.fleet().lists(target, model)
+        self.state.fleet().lists_model(target, model)
     }
 }
--- a/crates/tansyknot-fleet/tests/access.rs
+++ b/crates/tansyknot-fleet/tests/access.rs
@@ -18,9 +18,13 @@
 };
 use yare::parameterized;
 
-const QUOTA: Quota = Quota { unit: Unit::Tokens, rate: 1_000.0, burst: 1_000.0, plain: 200.0 };
+const QUOTA: Quota =
+    Quota { unit: Unit::Tokens, rate: 1_000.0, burst: 1_000.0, default_units: 200.0 };
 const OPTIONS: AccessOptions = AccessOptions {
-    view: ViewOptions { good_for: Duration::from_secs(4), settled_for: Duration::from_secs(3) },
+    view: ViewOptions {
+        accept_known_for: Duration::from_secs(4),
+        reject_unknown_for: Duration::from_secs(3),
+    },
     window: Duration::from_secs(8),
     overshoot: 0.0,
     slack: 0.0,
@@ -40,8 +44,8 @@
 }
 
 #[parameterized(
-    name = { ["alpha", "alpha"], [&["k1"], &["k2"]], Err(TeamsError::NameTwice("alpha".into())) },
-    key = { ["alpha", "beta"], [&["k1"], &["k1"]], Err(TeamsError::KeyTwice("beta".into(), "alpha".into())) },
+    name = { ["alpha", "alpha"], [&["k1"], &["k2"]], Err(TeamsError::DuplicateName("alpha".into())) },
+    key = { ["alpha", "beta"], [&["k1"], &["k1"]], Err(TeamsError::DuplicateKey("beta".into(), "alpha".into())) },
     empty = { ["alpha", "beta"], [&["k1"], &[""]], Err(TeamsError::EmptyKey("beta".into())) },
     proper = { ["alpha", "beta"], [&["k1"], &["k2"]], Ok(()) },
 )]
@@ -66,7 +70,7 @@
 )]
 fn key_is_judged_by_the_age_of_the_view(key: &str, age_ms: u64, expected: Result<(), Denied>) {
     let mut key_view = KeyView::default();
-    key_view.in_force(7, at(0));
+    key_view.record_in_force(7, at(0));
     let claim = RequestCredentials { key: Some(key), arrived: at(age_ms), version: 7 };
     let judged = access::identify(&teams(QUOTA), claim, &key_view, &OPTIONS.view);
     assert_eq!(judged.map(drop), expected);
@@ -136,7 +140,7 @@
     assert!(share.take(500.0, 0.9, at(100)));
     // An answer that was long on its way renews it from when it was asked for.
     share.renew(10_000.0, 1, at(1_000), at(2_500));
-    let end = 1_000 + share::LIFE.as_millis() as u64;
+    let end = 1_000 + share::SHARE_LIFETIME.as_millis() as u64;
     assert!(share.take(500.0, 0.9, at(end - 1)));
     assert!(!share.take(500.0, 0.9, at(end)));
     share.renew(10_000.0, 1, at(900), at(end));
@@ -164,7 +168,7 @@
     let (from, teams, alpha): (SocketAddr, _, TeamName) =
         (([10, 0, 0, 1], 7).into(), teams(QUOTA), "alpha".into());
     books.begin(1, at(0));
-    books.keep(&teams, &OPTIONS, at(0));
+    books.maintain(&teams, &OPTIONS, at(0));
     let mut take = |number| {
         let asked = QuotaWithdrawal { from, number, team: &alpha, units: 600.0 };
         books.take(asked, &teams, &OPTIONS, at(2_000))
@@ -178,15 +182,16 @@
     let mut books = QuotaAccounts::default();
     let (from, teams): (SocketAddr, _) = (([10, 0, 0, 1], 7).into(), teams(QUOTA));
     books.begin(1, at(0));
-    let uses = [TeamUse { team: "alpha".into(), per_s: 500, again: 0, lent: 0, back: Vec::new() }];
+    let uses =
+        [TeamUse { team: "alpha".into(), per_s: 500, retried: 0, lent: 0, returned: Vec::new() }];
     for n in 0..10 {
-        books.keep(&teams, &OPTIONS, at(n * 300));
-        books.hear(from, &uses, &teams, &OPTIONS, at(n * 300));
+        books.maintain(&teams, &OPTIONS, at(n * 300));
+        books.record_use(from, &uses, &teams, &OPTIONS, at(n * 300));
     }
     let lent = books.lend(from, &teams, at(2_700));
     let rate = f64::from(lent[0].rate);
     assert!(rate > 500.0 && rate < 1_000.0, "{rate} lent");
-    (10..60).for_each(|n| books.keep(&teams, &OPTIONS, at(n * 300)));
+    (10..60).for_each(|n| books.maintain(&teams, &OPTIONS, at(n * 300)));
     let left = books.left(at(18_000))[0].1;
     assert!((left - 1_000.0).abs() < 1.0, "its share is over: {left}");
 }
@@ -199,7 +204,7 @@
     of_a_clock_that_is_ahead = { 7, 101, None },
 )]
 fn answer_proves_nothing_to_another_run(run: u64, us: u64, asked_us: Option<u64>) {
-    let asked = Stamp { run, us }.asked_at(7, Time::from_micros(100));
+    let asked = Stamp { run, us }.sent_at(7, Time::from_micros(100));
     assert_eq!(asked, asked_us.map(Time::from_micros));
 }
 
@@ -208,11 +213,11 @@
     let mut pending = PendingQuotas::default();
     for n in 0..60 {
         let team = TeamName::new(format!("team-with-a-name-{n}"));
-        let number = pending.ask(&team, 1e6, at(0));
+        let number = pending.begin(&team, 1e6, at(0));
         pending.end(number);
         (0..30).for_each(|_| pending.give_back(&team, 4_000_000.0, at(0), at(1)));
     }
-    let question = pending.question(at(2));
+    let question = pending.take_report(at(2));
     assert_eq!(datagram::datagrams(Message::UsageReport(question)).len(), 1);
     let lent =
         |n| LentShare { team: TeamName::new(format!("team-with-a-name-{n}")), rate: u32::MAX };
--- a/crates/tansyknot-fleet/tests/backoff.rs
+++ b/crates/tansyknot-fleet/tests/backoff.rs
@@ -63,12 +63,12 @@
     let state = state(&ManualClock::new());
     let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(door.clone()));
     follower.step();
-    assert!(state.contacts().returned.is_none(), "it was never away");
+    assert!(state.store_contacts().returned_at.is_none(), "it was never away");
     door.set(StoreFault::Busy);
     follower.step();
     door.set(StoreFault::None);
-    let seen = state.call_due.count();
+    let seen = state.store_call_due.count();
     follower.step();
-    assert!(state.contacts().returned.is_some());
-    assert_ne!(state.call_due.count(), seen);
+    assert!(state.store_contacts().returned_at.is_some());
+    assert_ne!(state.store_call_due.count(), seen);
 }
--- a/crates/tansyknot-fleet/tests/budget.rs
+++ b/crates/tansyknot-fleet/tests/budget.rs
@@ -9,15 +9,15 @@
 const OPTIONS: BudgetOptions =
     BudgetOptions { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 
-/// The part of one of `daemons` daemons that has run for `running`.
-fn part(daemons: usize, running: Duration) -> Allotment {
-    Allotment { daemons, running }
+/// The part of one of `daemons` daemons that has run for `uptime`.
+fn part(daemons: usize, uptime: Duration) -> Allotment {
+    Allotment { daemons, uptime }
 }
 
 /// Takes as many second sends as there are at `at` for one of `daemons` that have run for long.
 fn drain(budget: &mut Budget, at: Time, daemons: usize) -> usize {
     let part = part(daemons, OPTIONS.window);
-    (0..1000).take_while(|_| budget.take(at, part, &OPTIONS)).count()
+    (0..1000).take_while(|_| budget.take_retry(at, part, &OPTIONS)).count()
 }
 
 #[parameterized(
@@ -36,10 +36,10 @@
     let mut budget = Budget::default();
     let now = Time::from_millis(0);
     let fresh = part(6, OPTIONS.window - Duration::from_millis(1));
-    assert!(!budget.take(now, fresh, &OPTIONS));
-    (0..68).for_each(|_| budget.first(now, fresh, &OPTIONS));
-    assert!(budget.take(now, fresh, &OPTIONS) && budget.take(now, fresh, &OPTIONS));
-    assert!(!budget.take(now, fresh, &OPTIONS));
+    assert!(!budget.take_retry(now, fresh, &OPTIONS));
+    (0..68).for_each(|_| budget.count_first_send(now, fresh, &OPTIONS));
+    assert!(budget.take_retry(now, fresh, &OPTIONS) && budget.take_retry(now, fresh, &OPTIONS));
+    assert!(!budget.take_retry(now, fresh, &OPTIONS));
 }
 
 #[test]
@@ -50,9 +50,9 @@
     for ms in (0..60_000).step_by(20) {
         let now = Time::from_millis(ms);
         let budget = &mut budgets[(ms / 20) as usize % DAEMONS];
-        budget.first(now, part(DAEMONS, OPTIONS.window), &OPTIONS);
+        budget.count_first_send(now, part(DAEMONS, OPTIONS.window), &OPTIONS);
         first.push(now);
-        while budget.take(now, part(DAEMONS, OPTIONS.window), &OPTIONS) {
+        while budget.take_retry(now, part(DAEMONS, OPTIONS.window), &OPTIONS) {
             again.push(now);
         }
     }
--- a/crates/tansyknot-fleet/tests/copies.rs
+++ b/crates/tansyknot-fleet/tests/copies.rs
@@ -73,7 +73,7 @@
         for task in rig.plan() {
             let name = task.target.name.clone();
             holders.insert(name.to_string());
-            rig.planner.ended(&name, TaskOutcome::Done, rig.now);
+            rig.planner.task_ended(&name, TaskOutcome::Done, rig.now);
             let at = rig.targets.iter().position(|t| t.name == name).expect("a target");
             rig.targets[at] = Arc::new(target(name.as_str(), &["m0"], &["m0"]));
         }
--- a/crates/tansyknot-fleet/tests/dissemination.rs
+++ b/crates/tansyknot-fleet/tests/dissemination.rs
@@ -106,7 +106,7 @@
     let mut network = started(340);
     let planner = network.planner().expect("there is one").address;
     let is_relay = |n: &&mut support::network::Node| {
-        n.address != planner && n.state.peers().before(n.address, n.state.now()) < 5
+        n.address != planner && n.state.peers().rank_of(n.address, n.state.now()) < 5
     };
     network.nodes.iter_mut().filter(is_relay).for_each(|n| n.is_dead = true);
     let left = network.nodes.iter().filter(|n| !n.is_dead).count();
@@ -123,7 +123,7 @@
     let mut network = started(340);
     let planner = network.planner().expect("there is one").address;
     let is_first = |n: &&support::network::Node| {
-        n.address != planner && n.state.peers().before(n.address, n.state.now()) < 2
+        n.address != planner && n.state.peers().rank_of(n.address, n.state.now()) < 2
     };
     network.mute = network.nodes.iter().find(is_first).map(|n| n.address);
     assert!(network.mute.is_some());
@@ -138,19 +138,19 @@
 fn planner_that_has_lost_the_lease_has_nothing_to_tell() {
     let mut network = started(340);
     network.change();
-    network.run(network.planner().expect("there is one").state.spans.list_pace);
+    network.run(network.planner().expect("there is one").state.spans.list_poll_interval);
     let planner = network.planner().expect("there is one");
     let (conductor, state) = (Arc::clone(&planner.conductor), Arc::clone(&planner.state));
     planner.cut(true);
     // Its links have just had their share, so that what has changed since waits.
-    conductor.step(StepReason::Beat);
+    conductor.step(StepReason::Heartbeat);
     let target = support::target("t0", &["m9"], &[]);
     let change = TargetChange::Put(Box::new(Target { version: u64::MAX, ..target }));
-    state.fleet().apply(change, state.now());
+    state.fleet().apply_change(change, state.now());
     conductor.step(StepReason::Change);
     assert!(conductor.left(state.now()) < SECOND, "it waits to be told");
     network.clock.advance(SECOND * 2);
-    conductor.step(StepReason::Beat);
+    conductor.step(StepReason::Heartbeat);
     assert_eq!(conductor.left(state.now()), Duration::MAX);
 }
 
--- a/crates/tansyknot-fleet/tests/estimate.rs
+++ b/crates/tansyknot-fleet/tests/estimate.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn nothing_is_known_before_the_first_span() {
-    assert_eq!((seen(&[]).mean(), seen(&[]).most()), (None, None));
+    assert_eq!((seen(&[]).mean(), seen(&[]).upper_bound()), (None, None));
 }
 
 #[parameterized(
@@ -23,13 +23,13 @@
 fn most_lies_above_the_mean_and_nears_it(spans_ms: &[u64], mean: u64, most: u64) {
     let estimate = seen(spans_ms);
     assert_eq!(estimate.mean(), Some(Duration::from_millis(mean)));
-    assert!(estimate.most() <= Some(Duration::from_millis(most)));
-    assert!(estimate.most() >= estimate.mean());
+    assert!(estimate.upper_bound() <= Some(Duration::from_millis(most)));
+    assert!(estimate.upper_bound() >= estimate.mean());
 }
 
 #[test]
 fn long_span_widens_what_may_come() {
     let before = seen(&[400; 12]);
     let after = seen(&[[400; 12].as_slice(), &[3000]].concat());
-    assert!(after.most() > before.most().map(|most| most + Duration::from_secs(2)));
+    assert!(after.upper_bound() > before.upper_bound().map(|most| most + Duration::from_secs(2)));
 }
--- a/crates/tansyknot-fleet/tests/follow.rs
+++ b/crates/tansyknot-fleet/tests/follow.rs
@@ -81,11 +81,11 @@
     assert!(follower.step());
     let now = state.now();
     let read = ListRead { age: Duration::ZERO, version: 77 };
-    let news = ChangeLog::default().news(0, read, now);
+    let news = ChangeLog::default().changes_after(0, read, now);
     for _ in 0..2 {
-        state.followed().list(1, news.clone(), now);
-        let mark = state.followed().before_call();
-        state.followed().after_call(mark, 0);
+        state.planner_view().apply_list_update(1, news.clone(), now);
+        let mark = state.planner_view().call_mark();
+        state.planner_view().record_call(mark, 0);
     }
     assert!(follower.step());
     assert_eq!(door.followed_from(), 77);
@@ -101,7 +101,7 @@
     let on_its_way = Duration::from_millis(500);
     door.delay(&clock, on_its_way);
     follower.step();
-    let shown_at = state.contacts().config.expect("the store has answered");
+    let shown_at = state.store_contacts().config.expect("the store has answered");
     assert!(state.now().since(shown_at) >= on_its_way);
 }
 
@@ -135,10 +135,10 @@
     let mut log = ChangeLog::default();
     for _ in 0..20 {
         clock.advance(Duration::from_millis(500));
-        let news = log.news(0, ListRead { age: Duration::ZERO, version: 1 }, state.now());
-        state.followed().list(1, news, state.now());
-        let mark = state.followed().before_call();
-        state.followed().after_call(mark, 0);
+        let news = log.changes_after(0, ListRead { age: Duration::ZERO, version: 1 }, state.now());
+        state.planner_view().apply_list_update(1, news, state.now());
+        let mark = state.planner_view().call_mark();
+        state.planner_view().record_call(mark, 0);
     }
     clock.advance(Duration::from_millis(1900));
     let gone = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
@@ -153,11 +153,19 @@
     let now = Time::from_millis(10_000);
     let mut log = ChangeLog::default();
     for _ in 0..2 {
-        followed.list(1, log.news(0, ListRead { age: Duration::ZERO, version: 77 }, now), now);
-        let mark = followed.before_call();
-        followed.after_call(mark, 0);
+        followed.apply_list_update(
+            1,
+            log.changes_after(0, ListRead { age: Duration::ZERO, version: 77 }, now),
+            now,
+        );
+        let mark = followed.call_mark();
+        followed.record_call(mark, 0);
     }
     assert_eq!(followed.list_version(), 77);
-    followed.list(2, log.news(0, ListRead { age: Duration::ZERO, version: 0 }, now), now);
+    followed.apply_list_update(
+        2,
+        log.changes_after(0, ListRead { age: Duration::ZERO, version: 0 }, now),
+        now,
+    );
     assert_eq!(followed.list_version(), 77);
 }
--- a/crates/tansyknot-fleet/tests/freshness.rs
+++ b/crates/tansyknot-fleet/tests/freshness.rs
@@ -16,15 +16,15 @@
 fn views_are_renewed_before_the_bounds_end(leave_ms: u64, config_ms: u64) {
     let (leave, config) = (Duration::from_millis(leave_ms), Duration::from_millis(config_ms));
     let bounds = Bounds { leave_within: leave, config_within: config, ..Bounds::default() };
-    let spans = FreshnessLimits::of(&bounds);
-    assert!(spans.list + CALL <= leave);
-    assert!(spans.config + CALL / 2 <= config);
-    assert!(spans.list_pace <= leave / 3);
-    assert!(spans.config_wait < spans.config);
+    let spans = FreshnessLimits::from_bounds(&bounds);
+    assert!(spans.max_list_age + CALL <= leave);
+    assert!(spans.max_config_age + CALL / 2 <= config);
+    assert!(spans.list_poll_interval <= leave / 3);
+    assert!(spans.config_wait < spans.max_config_age);
 }
 
 #[test]
 fn notes_outlive_entries_that_were_written_before_them() {
     let bounds = Bounds { heartbeat: Duration::from_secs(3), ..Bounds::default() };
-    assert!(FreshnessLimits::of(&bounds).note > Duration::from_secs(6));
+    assert!(FreshnessLimits::from_bounds(&bounds).override_ttl > Duration::from_secs(6));
 }
--- a/crates/tansyknot-fleet/tests/heartbeat.rs
+++ b/crates/tansyknot-fleet/tests/heartbeat.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use tansyknot_core::clock::Time;
-use tansyknot_fleet::dissemination::heartbeat::{BEAT, HeartbeatSchedule, StepReason};
+use tansyknot_fleet::dissemination::heartbeat::{
+    HEARTBEAT_INTERVAL, HeartbeatSchedule, StepReason,
+};
 use yare::parameterized;
 
 #[parameterized(
@@ -20,9 +22,9 @@
     for ms in (10..=6_000).step_by(10) {
         let now = begin + Duration::from_millis(ms);
         let has_changed = change_every_ms.is_some_and(|every| ms % every == 0);
-        match pace.occasion(has_changed, now) {
-            Some(StepReason::Beat) => {
-                assert!(now.since(last) <= BEAT + Duration::from_millis(10));
+        match pace.step_reason(has_changed, now) {
+            Some(StepReason::Heartbeat) => {
+                assert!(now.since(last) <= HEARTBEAT_INTERVAL + Duration::from_millis(10));
                 last = now;
                 beats += 1;
             }
--- a/crates/tansyknot-fleet/tests/lease.rs
+++ b/crates/tansyknot-fleet/tests/lease.rs
@@ -163,7 +163,7 @@
     // The released daemon drains and takes nothing any more.
     let ordered = until_it_may_order(&clock, &b);
     let span = ordered.since(released);
-    assert!(span >= TURN && span < TURN + lease::TAKE_AFTER, "{span:?}");
+    assert!(span >= TURN && span < TURN + lease::TAKEOVER_TIMEOUT, "{span:?}");
 }
 
 #[test]
@@ -174,11 +174,12 @@
     run(&clock, &[&a, &b], 2_000);
     let died = clock.now();
     let other = TargetName::from("other");
-    while b.keeper.cover(&other).is_none() && clock.now().since(died) < Duration::from_secs(9) {
+    while b.keeper.add_target(&other).is_none() && clock.now().since(died) < Duration::from_secs(9)
+    {
         run(&clock, &[&b], 50);
     }
     let span = clock.now().since(died);
-    assert!(span < lease::TAKE_AFTER + Duration::from_millis(600), "{span:?}");
+    assert!(span < lease::TAKEOVER_TIMEOUT + Duration::from_millis(600), "{span:?}");
     assert!(!may_order(&b), "the dead holder may have ordered this one");
 }
 
--- a/crates/tansyknot-fleet/tests/news.rs
+++ b/crates/tansyknot-fleet/tests/news.rs
@@ -27,12 +27,12 @@
 fn put(n: u64) -> Change {
     let mut t = target(&format!("t{}", n % 7), &["m0"], &[]);
     t.version = n;
-    Change::Put(Entry::of(&t))
+    Change::Put(Entry::from_target(&t))
 }
 
 /// Returns the planner's news in parts of at most `most` changes, as datagrams have them.
 fn parts(log: &mut ChangeLog, read: ListRead, most: usize, now: Time) -> Vec<ListUpdate> {
-    let mut rest = log.news(0, read, now);
+    let mut rest = log.changes_after(0, read, now);
     let mut parts = Vec::new();
     while rest.changes.len() > most {
         let next = rest.split_off(most);
@@ -44,7 +44,7 @@
 
 /// Returns how long a view of the list is fresh.
 fn list_span() -> Duration {
-    FreshnessLimits::default().list
+    FreshnessLimits::default().max_list_age
 }
 
 #[test]
@@ -54,13 +54,13 @@
     let now = Time::from_millis(10_000);
     log.add(put(1), 1, now);
     for part in parts(&mut log, FRESH, PART, now) {
-        assert!(f.list(1, part, now).is_empty());
+        assert!(f.apply_list_update(1, part, now).is_empty());
     }
     assert!(f.list_fresh_for(now).is_zero());
-    let mark = f.before_call();
-    f.after_call(mark, 0);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
     for part in parts(&mut log, FRESH, PART, now) {
-        assert!(f.list(1, part, now).is_empty(), "the call has shown it already");
+        assert!(f.apply_list_update(1, part, now).is_empty(), "the call has shown it already");
     }
     assert_eq!(f.list_fresh_for(now), list_span());
 }
@@ -71,10 +71,10 @@
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
     let news = parts(&mut log, FRESH, PART, now);
-    f.list(1, news[0].clone(), now);
-    let mark = f.before_call();
-    f.list(2, news[0].clone(), now);
-    f.after_call(mark, 0);
+    f.apply_list_update(1, news[0].clone(), now);
+    let mark = f.call_mark();
+    f.apply_list_update(2, news[0].clone(), now);
+    f.record_call(mark, 0);
     assert!(f.list_fresh_for(now).is_zero(), "the call began before this planner was known");
 }
 
@@ -84,11 +84,11 @@
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
     let fresh = parts(&mut log, FRESH, PART, now);
-    f.list(1, fresh[0].clone(), now);
-    let mark = f.before_call();
-    f.after_call(mark, 0);
+    f.apply_list_update(1, fresh[0].clone(), now);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
     let stale = parts(&mut log, ListRead { age: list_span(), version: 5 }, PART, now);
-    f.list(1, stale[0].clone(), now);
+    f.apply_list_update(1, stale[0].clone(), now);
     assert!(f.list_fresh_for(now + list_span()).is_zero());
 }
 
@@ -97,20 +97,21 @@
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
-    f.list(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
-    let mark = f.before_call();
-    f.after_call(mark, 0);
-    f.list(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
+    f.apply_list_update(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
+    f.apply_list_update(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
     for n in 1..=7 {
         log.add(put(n), n, now);
     }
     let told = parts(&mut log, FRESH, 3, now);
     assert_eq!(told.len(), 3);
-    let first = f.list(1, told[0].clone(), now + BEAT).len();
-    let third = f.list(1, told[2].clone(), now + BEAT).len();
+    let first = f.apply_list_update(1, told[0].clone(), now + BEAT).len();
+    let third = f.apply_list_update(1, told[2].clone(), now + BEAT).len();
     assert_eq!((first, third), (3, 1), "what has come counts at once");
     assert_eq!(f.list_fresh_for(now + BEAT), list_span() - BEAT);
-    let again: usize = told.into_iter().map(|p| f.list(1, p, now + BEAT * 2).len()).sum();
+    let again: usize =
+        told.into_iter().map(|p| f.apply_list_update(1, p, now + BEAT * 2).len()).sum();
     assert_eq!(again, 3, "the other parts were known");
     assert_eq!(f.list_fresh_for(now + BEAT * 2), list_span());
 }
@@ -122,7 +123,7 @@
     for n in 1..=6 {
         log.add(put(n), n, now);
     }
-    let news = log.news(5, FRESH, now);
+    let news = log.changes_after(5, FRESH, now);
     assert_eq!((news.changes.len(), news.from, news.to), (1, 5, 6));
 }
 
@@ -138,16 +139,16 @@
     fn new(fence: u64, version: u64) -> Self {
         let mut log = ChangeLog::default();
         log.skip(version);
-        let told = log.last();
+        let told = log.last_number();
         Self { fence, log, told }
     }
 
     /// Returns what a daemon that knows this is told in answer.
     fn repair(&mut self, known: ReceivedState, read: ListRead, now: Time) -> ListUpdate {
         let number = known.number.filter(|_| known.fence == self.fence);
-        let after = number.or_else(|| self.log.known_at(known.version));
-        let to = number.and(known.missing_to).unwrap_or(self.log.last());
-        self.log.news_between(after.unwrap_or(self.log.last()), to, read, now)
+        let after = number.or_else(|| self.log.number_at_version(known.version));
+        let to = number.and(known.missing_to).unwrap_or(self.log.last_number());
+        self.log.changes_between(after.unwrap_or(self.log.last_number()), to, read, now)
     }
 }
 
@@ -169,11 +170,11 @@
         Change::Put(e) => (e.name.clone(), e.version),
         Change::Models(e) => (e.name.clone(), e.version),
         Change::Removed(removal) => (removal.name.clone(), 0),
-        Change::Note(note) => panic!("nothing notes {note:?}"),
-        Change::Whole(read) => panic!("nothing reads {read:?}"),
+        Change::Override(note) => panic!("nothing notes {note:?}"),
+        Change::FullRead(read) => panic!("nothing reads {read:?}"),
     };
-    let mark = f.before_call();
-    f.after_call(mark, 1);
+    let mark = f.call_mark();
+    f.record_call(mark, 1);
     for round in 1..3_000_u64 {
         let now = Time::from_millis(10_000 + round * 300);
         let version = round * 100;
@@ -187,34 +188,34 @@
         if rng.random_bool(change_of_planner) {
             let fence = next.fence + 1;
             planner = std::mem::replace(&mut next, Planner::new(fence, version));
-            planner.told = planner.log.last();
+            planner.told = planner.log.last_number();
             changes_of_planner += 1;
         }
         let read = ListRead { age: Duration::ZERO, version };
-        let told = std::mem::replace(&mut planner.told, planner.log.last());
-        let mut news = vec![planner.log.news(told, read, now)];
+        let told = std::mem::replace(&mut planner.told, planner.log.last_number());
+        let mut news = vec![planner.log.changes_after(told, read, now)];
         while let Some(mut part) = news.pop() {
             while part.changes.len() > 2 {
                 news.push(part.split_off(2));
             }
             if !rng.random_bool(loss) {
-                view.extend(f.list(planner.fence, part, now).iter().map(key));
+                view.extend(f.apply_list_update(planner.fence, part, now).iter().map(key));
             }
         }
         let known = f.known(now);
         if known.missing_to.is_some() && !rng.random_bool(loss) {
             let news = planner.repair(known, read, now);
             if !rng.random_bool(loss) {
-                view.extend(f.list(planner.fence, news, now).iter().map(key));
+                view.extend(f.apply_list_update(planner.fence, news, now).iter().map(key));
             }
         }
         if f.list_fresh_for(now) == list_span() {
             assert_eq!(view, truth, "round {round}");
         }
         if f.list_fresh_for(now) < BEAT {
-            let mark = f.before_call();
+            let mark = f.call_mark();
             view.clone_from(&truth);
-            f.after_call(mark, version);
+            f.record_call(mark, version);
             calls += 1;
         }
     }
@@ -236,10 +237,10 @@
     Demand {
         daemon: "d".into(),
         incarnation: "r".into(),
-        beat: 7,
+        seq: 7,
         zone: "z1".into(),
         link_mbps: None,
-        known: ReceivedState::default(),
+        received: ReceivedState::default(),
         models: (0..models).map(model).collect(),
         in_flight: (0..in_flight).map(one).collect(),
         poison: Default::default(),
@@ -264,7 +265,7 @@
         let Some(Message::Demand(part)) = datagram::decode(bytes) else {
             panic!("it is no demand")
         };
-        assert_eq!(part.beat, whole.beat);
+        assert_eq!(part.seq, whole.seq);
         got.models.extend(part.models);
         got.in_flight.extend(part.in_flight);
     }
@@ -279,8 +280,8 @@
         fence: 1,
         planner: "p".into(),
         address: ([10, 0, 0, 1], 7000).into(),
-        beat: 9,
-        extent: Extent::All,
+        seq: 9,
+        extent: Extent::Full,
         lease_version: 1,
         lease_age_ms: 0,
         daemons: 1,
@@ -289,7 +290,7 @@
         config_age_ms: 0,
         list: ListUpdate::default(),
         peers: Vec::new(),
-        coming: Vec::new(),
+        pending_loads: Vec::new(),
         loads: (1..=targets).map(load).collect(),
         signals: Vec::new(),
     }
@@ -315,16 +316,16 @@
     for n in 11..=14 {
         log.add(put(n), n, now);
     }
-    let mut first = log.news(1, ListRead { age: Duration::ZERO, version: 14 }, now);
+    let mut first = log.changes_after(1, ListRead { age: Duration::ZERO, version: 14 }, now);
     let second = first.split_off(2);
     let mut f = PlannerView::default();
-    let mark = f.before_call();
-    f.after_call(mark, 10);
-    assert!(f.list(1, second.clone(), now).is_empty());
-    assert!(f.is_missing());
-    assert_eq!(f.list(1, first, now).len(), 2);
-    assert_eq!(f.list(1, second, now).len(), 2);
-    assert!(!f.is_missing());
+    let mark = f.call_mark();
+    f.record_call(mark, 10);
+    assert!(f.apply_list_update(1, second.clone(), now).is_empty());
+    assert!(f.has_gap());
+    assert_eq!(f.apply_list_update(1, first, now).len(), 2);
+    assert_eq!(f.apply_list_update(1, second, now).len(), 2);
+    assert!(!f.has_gap());
 }
 
 #[test]
@@ -332,12 +333,16 @@
     let mut log = ChangeLog::default();
     log.skip(10);
     let now = Time::from_millis(10_000);
-    assert_eq!(log.known_at(9), None);
+    assert_eq!(log.number_at_version(9), None);
     let mut f = PlannerView::default();
-    let mark = f.before_call();
-    f.after_call(mark, 9);
-    f.list(1, log.news(0, ListRead { age: Duration::ZERO, version: 12 }, now), now);
-    assert!(f.is_missing());
+    let mark = f.call_mark();
+    f.record_call(mark, 9);
+    f.apply_list_update(
+        1,
+        log.changes_after(0, ListRead { age: Duration::ZERO, version: 12 }, now),
+        now,
+    );
+    assert!(f.has_gap());
     assert_eq!(f.list_version(), 9);
 }
 
@@ -345,13 +350,13 @@
 fn what_an_entry_holds_is_told_whole_to_who_lacks_the_entry() {
     let mut log = ChangeLog::default();
     let now = Time::from_millis(10_000);
-    let entry = Entry::of(&target("t1", &["m0"], &[]));
+    let entry = Entry::from_target(&target("t1", &["m0"], &[]));
     let mut newer = target("t1", &["m1"], &[]);
     newer.version = 2;
     log.add(Change::Put(entry), 1, now);
-    log.add(Entry::of(&newer).into_models(), 2, now);
-    let news = log.news(0, FRESH, now);
-    assert_eq!(news.changes, vec![(2, Change::Put(Entry::of(&newer)))]);
+    log.add(Entry::from_target(&newer).into_models_change(), 2, now);
+    let news = log.changes_after(0, FRESH, now);
+    assert_eq!(news.changes, vec![(2, Change::Put(Entry::from_target(&newer)))]);
 }
 
 #[test]
@@ -359,21 +364,21 @@
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
-    f.list(1, log.news(0, FRESH, now), now);
-    let mark = f.before_call();
-    f.after_call(mark, 0);
+    f.apply_list_update(1, log.changes_after(0, FRESH, now), now);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
     for n in 1..=200 {
         let mut t = target(&format!("target-{n}"), &["m0"], &[]);
         t.version = n;
-        log.add(Change::Put(Entry::of(&t)), n, now);
+        log.add(Change::Put(Entry::from_target(&t)), n, now);
     }
-    let news = PlannerUpdate { list: log.news(0, FRESH, now), ..news(200) };
+    let news = PlannerUpdate { list: log.changes_after(0, FRESH, now), ..news(200) };
     let (mut changes, mut loads) = (0, 0);
     for bytes in datagram::datagrams(Message::Update(news)) {
         assert!(bytes.len() <= datagram::MAX_BYTES);
         let Some(Message::Update(part)) = datagram::decode(&bytes) else { panic!("it is no news") };
         loads += part.loads.len();
-        changes += f.list(part.fence, part.list, now).len();
+        changes += f.apply_list_update(part.fence, part.list, now).len();
     }
     assert_eq!((changes, loads), (200, 200));
     assert_eq!(f.list_fresh_for(now), list_span());
@@ -393,39 +398,39 @@
 fn change_that_comes_late_does_not_undo_a_later_one_of_its_target() {
     let (mut log, mut f) = (ChangeLog::default(), PlannerView::default());
     let now = Time::from_millis(10_000);
-    f.list(1, log.news(0, FRESH, now), now);
-    let mark = f.before_call();
-    f.after_call(mark, 0);
+    f.apply_list_update(1, log.changes_after(0, FRESH, now), now);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
     log.add(put(7), 7, now);
-    let late = log.news(0, FRESH, now);
+    let late = log.changes_after(0, FRESH, now);
     log.add(Change::Removed(Removal { name: target("t0", &[], &[]).name, version: 8 }), 8, now);
-    let newer = log.news(1, FRESH, now);
-    assert_eq!(f.list(1, newer, now).len(), 1);
+    let newer = log.changes_after(1, FRESH, now);
+    assert_eq!(f.apply_list_update(1, newer, now).len(), 1);
     assert_eq!(f.known(now).missing_to, Some(1));
-    assert!(f.list(1, late, now).is_empty(), "the target stays gone");
-    assert!(!f.is_missing());
+    assert!(f.apply_list_update(1, late, now).is_empty(), "the target stays gone");
+    assert!(!f.has_gap());
 }
 
 #[test]
 fn only_what_is_missing_is_told_again() {
     let (mut log, mut f) = (ChangeLog::default(), PlannerView::default());
     let now = Time::from_millis(10_000);
-    f.list(1, log.news(0, FRESH, now), now);
-    let mark = f.before_call();
-    f.after_call(mark, 0);
+    f.apply_list_update(1, log.changes_after(0, FRESH, now), now);
+    let mark = f.call_mark();
+    f.record_call(mark, 0);
     for n in 1..=6 {
         log.add(put(n), n, now);
         if n != 2 && n != 3 {
-            f.list(1, log.news_between(n - 1, n, FRESH, now), now);
+            f.apply_list_update(1, log.changes_between(n - 1, n, FRESH, now), now);
         }
     }
     let known = f.known(now);
     assert_eq!((known.number, known.missing_to), (Some(1), Some(3)));
-    let again = log.news_between(1, 3, FRESH, now);
+    let again = log.changes_between(1, 3, FRESH, now);
     assert_eq!(again.changes.len(), 2);
-    f.list(1, again, now);
+    f.apply_list_update(1, again, now);
     assert_eq!(f.known(now).number, Some(6));
-    assert!(!f.is_missing());
+    assert!(!f.has_gap());
 }
 
 #[test]
--- a/crates/tansyknot-fleet/tests/obeyed.rs
+++ b/crates/tansyknot-fleet/tests/obeyed.rs
@@ -33,28 +33,28 @@
 /// Makes the view of a daemon that has heard a planner, with two targets that hold `m0`.
 fn told() -> Fleet {
     let mut fleet = untold();
-    fleet.signals_synced();
+    fleet.mark_signals_synced();
     fleet
 }
 
 fn untold() -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
-    fleet.set_all(vec![entry("t1", 1), entry("t2", 1)], 1, None, at(0));
+    fleet.apply_full_list(vec![entry("t1", 1), entry("t2", 1)], 1, None, at(0));
     fleet
 }
 
 fn entry(name: &str, born: u64) -> Target {
-    Target { born: Some(StartTime(born)), ..target(name, &["m0"], &[]) }
+    Target { started_at: Some(StartTime(born)), ..target(name, &["m0"], &[]) }
 }
 
 fn put(fleet: &mut Fleet, entry: Target, version: u64, now: Time) {
-    fleet.apply(TargetChange::Put(Box::new(Target { version, ..entry })), now);
+    fleet.apply_change(TargetChange::Put(Box::new(Target { version, ..entry })), now);
 }
 
 /// Takes in an answer of `t1` to a request that was sent a moment before.
 fn hear(fleet: &mut Fleet, signals: Signals, outcome: Outcome, now: Time) {
     let interval = Interval { sent: now.before(Duration::from_millis(1)), received: now };
-    fleet.hear_signals(&entry("t1", 1), &signals, outcome, interval);
+    fleet.record_signals(&entry("t1", 1), &signals, outcome, interval);
 }
 
 fn naming(per_s: f64) -> Signals {
@@ -69,14 +69,14 @@
 }
 
 fn wants_rest() -> Signals {
-    Signals { rest: SignalField::Value(REST), ..Signals::default() }
+    Signals { retry_delay: SignalField::Value(REST), ..Signals::default() }
 }
 
 fn name(pick: Pick) -> String {
     match pick {
         Pick::Target(t) => t.name.to_string(),
         Pick::Limited { target, .. } => format!("{} in its turn", target.name),
-        Pick::Resting(until) => format!("in {} ms", until.since(at(0)).as_millis()),
+        Pick::BackingOff(until) => format!("in {} ms", until.since(at(0)).as_millis()),
         Pick::Full => "full".to_owned(),
         Pick::NotLoaded | Pick::NoTarget => "none".to_owned(),
     }
@@ -95,7 +95,7 @@
     let want =
         TargetRequirements { service: &service, model: Some(&model), adapter: None, prefix: None };
     let tried = [TargetName::from("t2")];
-    let picked = fleet.pick_elsewhere(&want, &tried, now, &mut StdRng::seed_from_u64(1));
+    let picked = fleet.pick_other(&want, &tried, now, &mut StdRng::seed_from_u64(1));
     picked.map(|t| t.name.to_string())
 }
 
@@ -164,7 +164,7 @@
 fn note() -> TargetOverride {
     TargetOverride {
         target: TargetName::from("t1"),
-        born: Some(StartTime(1)),
+        started_at: Some(StartTime(1)),
         revision: 1,
         state: TargetState::Ready,
         models: entry("t1", 1).models,
@@ -183,15 +183,15 @@
 fn happen(fleet: &mut Fleet, event: Event) {
     match event {
         Event::Unchanged => put(fleet, entry("t1", 1), 5, at(5)),
-        Event::Noted => fleet.note(&note(), 1, at(5)),
+        Event::Noted => fleet.apply_override(&note(), 1, at(5)),
         Event::Lapsed => {
             let removal = Removal { name: TargetName::from("t1"), version: 5 };
-            fleet.apply(TargetChange::Removed(removal), at(5));
+            fleet.apply_change(TargetChange::Removed(removal), at(5));
             put(fleet, entry("t1", 1), 6, at(6));
         }
         Event::ReadAnew => {
             let all = ["t1", "t2"].map(|name| Target { version: 5, ..entry(name, 1) });
-            fleet.set_all(all.to_vec(), 5, Some(1), at(5));
+            fleet.apply_full_list(all.to_vec(), 5, Some(1), at(5));
         }
     }
 }
@@ -229,7 +229,7 @@
     hear(&mut fleet, says_it_leaves(), Outcome::Ran, at(1));
     let name = TargetName::from("t1");
     assert_eq!(fleet.target(&name).map(|t| t.state), Some(TargetState::Draining));
-    assert!(!fleet.takes_work(&name, at(2)));
+    assert!(!fleet.accepts_work(&name, at(2)));
 }
 
 // A planner told of a limit that had ended by an answer to a daemon which had not known of it.
@@ -241,7 +241,7 @@
     let limit = LimitSummary::Named { per_s: 1.0, at: ResponseAges::of(named.into(), at(1500)) };
     let word = RunSummary { run: RunKey::of(&entry("t1", 1)), limit, is_leaving: false };
     fleet.merge_signals(&[word], at(1500));
-    assert!(fleet.limited().is_empty());
+    assert!(fleet.rate_limited().is_empty());
     assert_eq!(fleet.recent_signals(at(1500)).len(), 1, "the planner is told");
 }
 
--- a/crates/tansyknot-fleet/tests/older_answers.rs
+++ b/crates/tansyknot-fleet/tests/older_answers.rs
@@ -56,10 +56,10 @@
     let node = &mut network.nodes[FOLLOWER];
     let state = Arc::clone(&node.state);
     if is_whole {
-        node.calls.follower.read_anew();
+        node.calls.follower.request_full_read();
     }
     let call = node.calls.follower.begin();
-    let answer = node.calls.follower.ask(call);
+    let answer = node.calls.follower.request(call);
     network.table.remove(&t0());
     network.run(SECOND);
     assert!(!knows(&state, &t0()), "the planner has told that it is gone");
@@ -74,9 +74,9 @@
     let mut network = started();
     let node = &mut network.nodes[FOLLOWER];
     let state = Arc::clone(&node.state);
-    node.calls.follower.read_anew();
+    node.calls.follower.request_full_read();
     let call = node.calls.follower.begin();
-    let answer = node.calls.follower.ask(call);
+    let answer = node.calls.follower.request(call);
     let new = target("t9", &["m0"], &[]);
     network.table.put(new.clone());
     network.run(SECOND);
--- a/crates/tansyknot-fleet/tests/plan.rs
+++ b/crates/tansyknot-fleet/tests/plan.rs
@@ -59,7 +59,7 @@
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1"], &["m5", "m6"])]);
     rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 1), busy("t1", "m1", 1)]);
     assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
-    rig.planner.ended(&TargetName::from("t1"), TaskOutcome::Done, rig.now);
+    rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Done, rig.now);
     rig.targets[0] = Arc::new(target("t1", &["m0", "m1", "m5"], &["m5", "m6"]));
 
     let others = || vec![busy("t1", "m0", 1), busy("t1", "m1", 1)];
@@ -92,7 +92,7 @@
         let (model, other) = if n % 2 == 0 { ("m5", "m6") } else { ("m6", "m5") };
         rig.hear(&[wants(model, None, 1, n + 1), wants(other, None, 0, n)], Vec::new());
         assert_eq!(orders(&rig.plan()), [format!("t1 +{model}")]);
-        rig.planner.ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
+        rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
         rig.now = rig.now + std::time::Duration::from_millis(500);
     }
     rig.hear(&[wants("m7", None, 1, 1), wants("m6", None, 0, 6)], Vec::new());
@@ -183,7 +183,7 @@
     let mut begun = 0;
     for _ in 0..10 {
         for _ in rig.plan() {
-            rig.planner.remote_begins(rig.now);
+            rig.planner.count_remote_load(rig.now);
             begun += 1;
         }
     }
@@ -197,13 +197,13 @@
     rig.hear(&[wants("m5", None, 2, 2), wants("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
     let due = |rig: &Rig, model: &str| {
-        let coming = rig.planner.coming(rig.now);
-        coming.iter().find(|c| c.model.as_str() == model).map(|c| c.in_ms)
+        let coming = rig.planner.pending_loads(rig.now);
+        coming.iter().find(|c| c.model.as_str() == model).map(|c| c.due_in_ms)
     };
     let (first, second) = (due(&rig, "m5"), due(&rig, "m6"));
     // A load from disk takes 0.8 s, and each order 0.1 s beside that.
     assert_eq!((first, second), (Some(900), Some(1800)));
-    rig.planner.ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
+    rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
     rig.hear(&[wants("m5", None, 0, 2), wants("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&rig.plan()), ["t1 +m6"]);
     assert_eq!(due(&rig, "m6"), Some(900), "nothing is under way before it any more");
@@ -257,9 +257,9 @@
 fn daemon_that_has_fallen_silent_wants_nothing() {
     let mut rig = Rig::new(vec![target("t1", &[], &["m5"])]);
     rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 4)]);
-    rig.now = rig.now + tansyknot_fleet::plan::DAEMON_SPAN;
+    rig.now = rig.now + tansyknot_fleet::plan::DAEMON_TIMEOUT;
     rig.hear_of("other", &[], Vec::new());
-    assert_eq!(rig.planner.daemons(), 1);
+    assert_eq!(rig.planner.daemon_count(), 1);
     assert!(rig.plan().is_empty());
     assert!(rig.planner.loads().is_empty());
 }
--- a/crates/tansyknot-fleet/tests/poison.rs
+++ b/crates/tansyknot-fleet/tests/poison.rs
@@ -12,7 +12,7 @@
 use tansyknot_fleet::{
     platform_api::{RowName, Store},
     poison::{
-        CONVICTED_MOST, CheckState, Poison, Presence, TargetIdentity,
+        CheckState, MAX_CONVICTED, Poison, Presence, TargetIdentity,
         evidence::Evidence,
         keeper::PoisonKeeper,
         key::{RequestKey, RunKey},
@@ -31,7 +31,7 @@
 /// Has a daemon find that a run ended under a request.
 fn crash(poison: &mut Poison, key: RequestKey, run: u64, now: Time) {
     if poison.cut_off(key, RunKey(run), now, now) == CheckState::Due {
-        poison.looked(RunKey(run), Presence::Ended, now);
+        poison.record_check(RunKey(run), Presence::Ended, now);
     }
 }
 
@@ -44,7 +44,13 @@
 
 fn evidence(runs: &[u64]) -> Evidence {
     let crashes = runs.iter().map(|run| RunKey(*run)).collect();
-    Evidence { request: REQUEST, crashes, cleared: Vec::new(), lived: Duration::ZERO, tried: false }
+    Evidence {
+        request: REQUEST,
+        crashes,
+        cleared: Vec::new(),
+        longest_run: Duration::ZERO,
+        tried: false,
+    }
 }
 
 #[parameterized(
@@ -68,9 +74,9 @@
         assert_eq!(poison.cut_off(REQUEST, RunKey(run), at(run), at(run)), CheckState::Due);
         assert_eq!(
             poison.cut_off(RequestKey(8), RunKey(run), at(run), at(run)),
-            CheckState::UnderWay
+            CheckState::InProgress
         );
-        assert_eq!(poison.looked(RunKey(run), presence, at(run)), 0);
+        assert_eq!(poison.record_check(RunKey(run), presence, at(run)), 0);
     }
     assert_eq!((poison.is_convicted(REQUEST), poison.suspected()), (false, 0));
 }
@@ -86,8 +92,8 @@
 /// Has a daemon find that a target cut a request off and somebody listens there.
 fn cut_by_listener(poison: &mut Poison, run: u64, now: Time) {
     assert_eq!(poison.cut_off(REQUEST, RunKey(run), now, now), CheckState::Due);
-    assert_eq!(poison.looked(RunKey(run), Presence::Listening, now), 0);
-    poison.doubt(RunKey(run), place());
+    assert_eq!(poison.record_check(RunKey(run), Presence::Listening, now), 0);
+    poison.recheck(RunKey(run), place());
 }
 
 // A port may go on accepting after the process behind it has ended. The list says so some time later.
@@ -101,7 +107,7 @@
     let mut poison = Poison::default();
     (0..3).for_each(|run| cut_by_listener(&mut poison, run, at(1)));
     assert!(!poison.is_convicted(REQUEST));
-    (0..3).for_each(|run| _ = poison.looked(RunKey(run), presence, at(1 + after)));
+    (0..3).for_each(|run| _ = poison.record_check(RunKey(run), presence, at(1 + after)));
     assert_eq!(poison.is_convicted(REQUEST), convicts);
 }
 
@@ -109,7 +115,8 @@
 fn target_that_listens_is_looked_at_again_and_then_left() {
     let mut poison = Poison::default();
     cut_by_listener(&mut poison, 1, at(0));
-    let mut looks = |ms| poison.doubted(at(ms)).iter().map(|d| d.is_look_due).collect::<Vec<_>>();
+    let mut looks =
+        |ms| poison.suspect_targets(at(ms)).iter().map(|d| d.is_check_due).collect::<Vec<_>>();
     assert_eq!([looks(50), looks(120), looks(130)], [vec![false], vec![true], vec![false]]);
     assert_eq!([looks(500), looks(2_000), looks(3_000)], [vec![true], vec![true], vec![false]]);
     assert!(looks(6_500).is_empty(), "nothing is doubted for ever");
@@ -120,31 +127,31 @@
     let mut poison = Poison::default();
     (0..3).for_each(|run| cut_by_listener(&mut poison, run, at(1)));
     (0..3).for_each(|run| poison.answered(RequestKey(8), RunKey(run), at(2), at(3)));
-    (0..3).for_each(|run| _ = poison.looked(RunKey(run), Presence::Gone, at(5)));
-    assert_eq!((poison.is_convicted(REQUEST), poison.has_doubts()), (false, false));
+    (0..3).for_each(|run| _ = poison.record_check(RunKey(run), Presence::Gone, at(5)));
+    assert_eq!((poison.is_convicted(REQUEST), poison.has_suspect_targets()), (false, false));
 }
 
 #[test]
 fn target_that_leaves_is_not_doubted() {
     let mut poison = Poison::default();
     cut_by_listener(&mut poison, 1, at(1));
-    poison.leaves(RunKey(1));
-    assert!(!poison.has_doubts());
-    assert_eq!(poison.looked(RunKey(1), Presence::Gone, at(5)), 0);
+    poison.record_draining(RunKey(1));
+    assert!(!poison.has_suspect_targets());
+    assert_eq!(poison.record_check(RunKey(1), Presence::Gone, at(5)), 0);
 }
 
 #[test]
 fn doubts_take_bounded_memory() {
     let mut poison = Poison::default();
     (0..2_000).for_each(|run| cut_by_listener(&mut poison, run, at(run)));
-    assert!(poison.doubted(at(2_000)).len() <= 128);
+    assert!(poison.suspect_targets(at(2_000)).len() <= 128);
 }
 
 /// Lets a request be at three targets for `lived` milliseconds each, which then end.
 fn crash_after(poison: &mut Poison, key: RequestKey, lived: u64, now: u64) {
     for run in 0..3 {
         if poison.cut_off(key, RunKey(run), at(now - lived), at(now)) == CheckState::Due {
-            poison.looked(RunKey(run), Presence::Ended, at(now));
+            poison.record_check(RunKey(run), Presence::Ended, at(now));
         }
     }
 }
@@ -171,8 +178,8 @@
     let mut poison = Poison::default();
     let first = poison.cut_off(REQUEST, RunKey(1), at(1), at(1));
     let second = poison.cut_off(RequestKey(8), RunKey(1), at(1), at(1));
-    assert_eq!((first, second), (CheckState::Due, CheckState::UnderWay));
-    assert_eq!(poison.looked(RunKey(1), Presence::Ended, at(2)), 2);
+    assert_eq!((first, second), (CheckState::Due, CheckState::InProgress));
+    assert_eq!(poison.record_check(RunKey(1), Presence::Ended, at(2)), 2);
     // One that is noticed after that needs no look of its own.
     assert_eq!(poison.cut_off(RequestKey(9), RunKey(1), at(3), at(3)), CheckState::Done);
     assert_eq!(poison.suspected(), 3);
@@ -207,9 +214,9 @@
     let mut poison = Poison::default();
     let mut other = Poison::default();
     (0..2).for_each(|run| crash(&mut poison, REQUEST, run, at(run)));
-    other.merge(&poison.take_untold(), at(2));
+    other.merge(&poison.take_unsent(), at(2));
     poison.answered(REQUEST, RunKey(5), at(3), at(4));
-    other.merge(&poison.take_untold(), at(5));
+    other.merge(&poison.take_unsent(), at(5));
     // Long after, so that it is not for having been answered lately.
     for (n, daemon) in [&mut poison, &mut other].into_iter().enumerate() {
         crash(daemon, REQUEST, 10 + n as u64, at(60_000));
@@ -227,7 +234,7 @@
     let seen = state.poison_changed.count();
     state.merge_poison(&[evidence(&[1, 2])]);
     assert_ne!(state.poison_changed.count(), seen, "who tells others is woken");
-    let told = state.poison().take_untold();
+    let told = state.poison().take_unsent();
     assert_eq!(told.iter().map(Evidence::count).collect::<Vec<_>>(), [0]);
 }
 
@@ -272,7 +279,7 @@
     for n in 0..20_000u64 {
         crash(&mut poison, RequestKey(100 + u128::from(n)), 1_000 + n / 64, at(n));
     }
-    assert!(poison.suspected() <= 4096 + CONVICTED_MOST, "{} suspected", poison.suspected());
+    assert!(poison.suspected() <= 4096 + MAX_CONVICTED, "{} suspected", poison.suspected());
     assert!(poison.is_convicted(REQUEST));
 }
 
@@ -284,7 +291,7 @@
         let now = at(20_000 * n);
         (0..2).for_each(|k| crash(&mut poison, REQUEST, 2 * n + k, now));
         poison.answered(REQUEST, RunKey(u64::MAX), now, now);
-        let told = poison.take_untold();
+        let told = poison.take_unsent();
         assert!(told.iter().all(|item| item.crashes.len() + item.cleared.len() <= 40), "{told:?}");
     }
     assert!(!poison.is_convicted(REQUEST));
@@ -293,12 +300,12 @@
 #[test]
 fn of_too_many_convicted_those_asked_for_longest_ago_go() {
     let mut poison = convicted();
-    for n in 0..2 * CONVICTED_MOST as u64 {
+    for n in 0..2 * MAX_CONVICTED as u64 {
         let key = RequestKey(100 + u128::from(n));
         (0..3).for_each(|run| crash(&mut poison, key, 1_000 + 3 * n + run, at(n)));
         assert!(poison.is_convicted(REQUEST), "it is asked for all the while");
     }
-    assert_eq!(poison.convicted().len(), CONVICTED_MOST);
+    assert_eq!(poison.convicted().len(), MAX_CONVICTED);
 }
 
 struct Rig {
@@ -392,7 +399,7 @@
 fn row_of_as_many_as_are_kept_fits() {
     let rig = Rig::new();
     let (state, keeper) = rig.daemon();
-    for n in 0..CONVICTED_MOST as u64 {
+    for n in 0..MAX_CONVICTED as u64 {
         let key = RequestKey(u128::MAX - u128::from(n));
         (0..8).for_each(|run| crash(&mut state.poison(), key, u64::MAX - 8 * n - run, at(n)));
     }
--- a/crates/tansyknot-fleet/tests/poison_key.rs
+++ b/crates/tansyknot-fleet/tests/poison_key.rs
@@ -45,7 +45,7 @@
 #[test]
 fn runs_of_targets_that_are_numbered_alike_have_keys_of_their_own() {
     let run = |n: u64, born| Target {
-        born: Some(StartTime(born)),
+        started_at: Some(StartTime(born)),
         ..support::target(&format!("t{n}"), &[], &[])
     };
     let runs = (10..40).flat_map(|n| (10..40).map(move |born| RunKey::of(&run(n, born))));
--- a/crates/tansyknot-fleet/tests/relays.rs
+++ b/crates/tansyknot-fleet/tests/relays.rs
@@ -7,7 +7,7 @@
     peers::{self, PeerEntry, Peers},
     planner_view::ReceivedState,
     recipients::Recipients,
-    relays::{self, FOLLOWERS_MOST, Group, RelayCandidate},
+    relays::{self, Group, MAX_FOLLOWERS, RelayCandidate},
 };
 use yare::parameterized;
 
@@ -26,9 +26,9 @@
     PeerEntry { address: address(n), zone, link_mbps }
 }
 
-fn seat(n: usize, is_sound: bool) -> RelayCandidate {
+fn seat(n: usize, is_reliable: bool) -> RelayCandidate {
     let PeerEntry { address, zone, link_mbps } = entry(n);
-    RelayCandidate { address, zone, link_mbps, is_sound }
+    RelayCandidate { address, zone, link_mbps, is_reliable }
 }
 
 /// Returns everyone that groups reach, each once.
@@ -52,7 +52,7 @@
     let groups = relays::groups(&seats);
     assert_eq!(reached(&groups).len(), daemons);
     assert_eq!(groups.len(), sends);
-    assert!(groups.iter().all(|g| g.followers.len() <= FOLLOWERS_MOST));
+    assert!(groups.iter().all(|g| g.followers.len() <= MAX_FOLLOWERS));
 }
 
 #[test]
@@ -74,17 +74,23 @@
     assert_eq!(alone, 20, "zone z0 has no sound daemon");
 }
 
-fn known(silent_ms: u32) -> ReceivedState {
-    ReceivedState { fence: FENCE, number: Some(3), version: 9, missing_to: None, silent_ms }
+fn known(last_update_age_ms: u32) -> ReceivedState {
+    ReceivedState {
+        fence: FENCE,
+        number: Some(3),
+        version: 9,
+        missing_to: None,
+        last_update_age_ms,
+    }
 }
 
 /// Returns an audience that all of `daemons` have spoken to at `now`.
 fn audience(daemons: usize, now: Time) -> Recipients {
     let mut audience = Recipients::default();
     for n in 0..daemons {
-        audience.hear(entry(n), known(0), FENCE, now);
+        audience.record_demand(entry(n), known(0), FENCE, now);
     }
-    audience.regroup(now);
+    audience.begin_heartbeat(now);
     audience
 }
 
@@ -92,7 +98,7 @@
 fn speak(audience: &mut Recipients, is_lost: impl Fn(usize) -> bool, beats: u32, now: Time) {
     for n in 0..294 {
         let silent = if is_lost(n) { BEAT * beats } else { Duration::ZERO };
-        audience.hear(entry(n), known(silent.as_millis() as u32), FENCE, now);
+        audience.record_demand(entry(n), known(silent.as_millis() as u32), FENCE, now);
     }
 }
 
@@ -107,8 +113,8 @@
     for beat in 1..=3 {
         now = now + BEAT;
         speak(&mut audience, is_lost, beat, now);
-        told.push(audience.repairs(FENCE, now).len());
-        audience.regroup(now);
+        told.push(audience.take_repairs(FENCE, now).len());
+        audience.begin_heartbeat(now);
     }
     assert_eq!(told, [0, 0, lost.followers.len()]);
     let relays: BTreeSet<SocketAddr> =
@@ -124,7 +130,7 @@
     // It tells nothing for a second.
     let now = begin + Duration::from_millis(1_000);
     speak(&mut audience, |_| true, 3, now);
-    assert!(audience.repairs(FENCE, now).is_empty());
+    assert!(audience.take_repairs(FENCE, now).is_empty());
 }
 
 #[test]
@@ -135,8 +141,8 @@
     for beat in 1..=4 {
         now = now + BEAT;
         speak(&mut audience, |_| true, beat, now);
-        assert!(audience.repairs(FENCE, now).len() <= FOLLOWERS_MOST);
-        audience.regroup(now);
+        assert!(audience.take_repairs(FENCE, now).len() <= MAX_FOLLOWERS);
+        audience.begin_heartbeat(now);
     }
     assert_eq!(audience.groups(), before);
 }
@@ -150,9 +156,9 @@
         let now = begin + BEAT * beat;
         let others = (0..294).filter(|n| address(*n) != lost);
         others.for_each(|n| {
-            audience.hear(entry(n), known(0), FENCE, now);
+            audience.record_demand(entry(n), known(0), FENCE, now);
         });
-        audience.regroup(now);
+        audience.begin_heartbeat(now);
     }
     let group = audience.groups().iter().find(|g| g.relay == lost);
     assert!(group.is_none_or(|g| g.followers.is_empty()));
@@ -163,10 +169,10 @@
     let now = Time::from_millis(10_000);
     let mut audience = audience(30, now);
     let lacks = ReceivedState { missing_to: Some(4), ..known(0) };
-    assert!(audience.hear(entry(3), lacks, FENCE, now));
-    assert_eq!(audience.repairs(FENCE, now).len(), 1);
-    assert!(!audience.hear(entry(3), lacks, FENCE, now + Duration::from_millis(50)));
-    assert!(audience.hear(entry(3), lacks, FENCE, now + Duration::from_millis(150)));
+    assert!(audience.record_demand(entry(3), lacks, FENCE, now));
+    assert_eq!(audience.take_repairs(FENCE, now).len(), 1);
+    assert!(!audience.record_demand(entry(3), lacks, FENCE, now + Duration::from_millis(50)));
+    assert!(audience.record_demand(entry(3), lacks, FENCE, now + Duration::from_millis(150)));
 }
 
 #[test]
@@ -175,7 +181,7 @@
     let entries: Vec<PeerEntry> = (0..294).map(entry).collect();
     let mut peers = Peers::default();
     for beat in 0..17 {
-        peers::slice(&entries, beat).into_iter().for_each(|entry| peers.add(entry, now));
+        peers::heartbeat_slice(&entries, beat).into_iter().for_each(|entry| peers.add(entry, now));
     }
     let mut audience = Recipients::default();
     audience.begin(peers.all(now).cloned().collect(), now);
@@ -188,7 +194,7 @@
     let mut peers = Peers::default();
     (0..295).for_each(|n| peers.add(entry(n), now));
     let mut turns: Vec<(usize, Option<u32>)> =
-        (0..295).map(|n| (peers.before(address(n), now), entry(n).link_mbps)).collect();
+        (0..295).map(|n| (peers.rank_of(address(n), now), entry(n).link_mbps)).collect();
     turns.sort();
     let first: Vec<usize> = turns.iter().map(|(turn, _)| *turn).collect();
     assert_eq!(first, (0..295).collect::<Vec<usize>>(), "each has a turn of its own");
@@ -197,5 +203,5 @@
 
 #[test]
 fn daemon_that_knows_nobody_looks_at_once() {
-    assert_eq!(Peers::default().before(address(1), Time::from_millis(10_000)), 0);
+    assert_eq!(Peers::default().rank_of(address(1), Time::from_millis(10_000)), 0);
 }
--- a/crates/tansyknot-fleet/tests/retry_budget.rs
+++ b/crates/tansyknot-fleet/tests/retry_budget.rs
@@ -94,7 +94,7 @@
         let state = &self.daemons[daemon];
         state.count_first_send(&self.service);
         self.sends.first.push(now);
-        while state.take_second_send(&self.service) {
+        while state.take_retry(&self.service) {
             self.sends.again.push(now);
         }
     }
@@ -106,7 +106,7 @@
         let daemons = self.daemons.len();
         for (state, told_at) in self.daemons.iter().zip(&self.told_at) {
             if now >= *told_at {
-                state.fleet().set_daemons(daemons);
+                state.fleet().raise_daemon_count(daemons);
             }
         }
     }
@@ -121,7 +121,7 @@
     fn change_planner(&mut self, heard: usize) {
         let told_at = self.clock.now() + TOLD;
         for (state, at) in self.daemons.iter().zip(&mut self.told_at) {
-            state.fleet().set_daemons(heard);
+            state.fleet().raise_daemon_count(heard);
             *at = told_at;
         }
     }
--- a/crates/tansyknot-fleet/tests/run_state.rs
+++ b/crates/tansyknot-fleet/tests/run_state.rs
@@ -32,13 +32,13 @@
 }
 
 fn resting(ms: u64) -> Signals {
-    Signals { rest: SignalField::Value(Duration::from_millis(ms)), ..Signals::default() }
+    Signals { retry_delay: SignalField::Value(Duration::from_millis(ms)), ..Signals::default() }
 }
 
 const SILENT: Signals = Signals {
-    limit: SignalField::Nothing,
-    leaving: SignalField::Nothing,
-    rest: SignalField::Nothing,
+    limit: SignalField::Absent,
+    leaving: SignalField::Absent,
+    retry_delay: SignalField::Absent,
 };
 const LEAVES: Signals = Signals { leaving: SignalField::Value(()), ..SILENT };
 
@@ -101,8 +101,8 @@
 )]
 fn target_that_leaves_does_not_come_back(later: Signals) {
     let mut words = Registry::default();
-    words.hear(RUN, &LEAVES, Outcome::Ran, interval(0, 9));
-    words.hear(RUN, &later, Outcome::Ran, interval(10, 20));
+    words.apply(RUN, &LEAVES, Outcome::Ran, interval(0, 9));
+    words.apply(RUN, &later, Outcome::Ran, interval(10, 20));
     assert_eq!(words.availability(RUN, at(60_000)), Availability::Leaving);
 }
 
@@ -112,33 +112,33 @@
 )]
 fn rest_is_not_ended_early(later: Signals) {
     let mut words = Registry::default();
-    words.hear(RUN, &resting(3000), Outcome::NotRun, interval(0, 9));
-    words.hear(RUN, &later, Outcome::Ran, interval(5, 20));
-    assert_eq!(words.availability(RUN, at(2000)), Availability::Resting(at(3009)));
+    words.apply(RUN, &resting(3000), Outcome::NotRun, interval(0, 9));
+    words.apply(RUN, &later, Outcome::Ran, interval(5, 20));
+    assert_eq!(words.availability(RUN, at(2000)), Availability::BackingOff(at(3009)));
 }
 
 #[test]
 fn after_a_rest_one_request_asks_before_others_come() {
     let mut words = Registry::default();
-    words.hear(RUN, &resting(3000), Outcome::NotRun, interval(0, 9));
+    words.apply(RUN, &resting(3000), Outcome::NotRun, interval(0, 9));
     assert_eq!(words.availability(RUN, at(3009)), Availability::Open);
-    words.sends(RUN, at(3010));
-    assert_eq!(words.availability(RUN, at(3011)), Availability::Resting(at(3510)));
-    words.hear(RUN, &SILENT, Outcome::Ran, interval(3010, 3020));
+    words.record_choice(RUN, at(3010));
+    assert_eq!(words.availability(RUN, at(3011)), Availability::BackingOff(at(3510)));
+    words.apply(RUN, &SILENT, Outcome::Ran, interval(3010, 3020));
     assert_eq!(words.availability(RUN, at(3021)), Availability::Open);
 }
 
 #[test]
 fn garbled_rest_of_centuries_ends_within_a_minute() {
     let mut words = Registry::default();
-    words.hear(RUN, &resting(u64::from(u32::MAX) * 1000), Outcome::NotRun, interval(0, 0));
+    words.apply(RUN, &resting(u64::from(u32::MAX) * 1000), Outcome::NotRun, interval(0, 0));
     assert_eq!(words.availability(RUN, at(60_000)), Availability::Open);
 }
 
 #[test]
 fn word_of_one_run_says_nothing_of_another() {
     let mut words = Registry::default();
-    words.hear(RUN, &LEAVES, Outcome::Ran, interval(0, 9));
+    words.apply(RUN, &LEAVES, Outcome::Ran, interval(0, 9));
     assert_eq!(words.availability(RunKey(2), at(10)), Availability::Open);
 }
 
@@ -146,7 +146,7 @@
 fn words_are_bounded_and_the_oldest_goes_first() {
     let mut words = Registry::default();
     for n in 0..9000 {
-        words.hear(RunKey(n), &LEAVES, Outcome::Ran, interval(n, n));
+        words.apply(RunKey(n), &LEAVES, Outcome::Ran, interval(n, n));
     }
     assert_eq!(words.availability(RunKey(0), at(9000)), Availability::Open);
     assert_eq!(words.availability(RunKey(8999), at(9000)), Availability::Leaving);
--- a/crates/tansyknot-fleet/tests/shutdown.rs
+++ b/crates/tansyknot-fleet/tests/shutdown.rs
@@ -13,9 +13,9 @@
 )]
 fn requests_are_cut_in_the_last_sixth_of_the_grace_and_refused_well_before(grace_ms: u64) {
     let grace = Duration::from_millis(grace_ms);
-    let plan = ShutdownPlan::of(grace);
-    assert!(plan.cut_after >= grace * 5 / 6, "{plan:?}");
-    assert!(plan.cut_after + Duration::from_millis(150) <= grace, "{plan:?}");
-    assert!(plan.refuse_after + Duration::from_millis(500) <= plan.cut_after, "{plan:?}");
+    let plan = ShutdownPlan::for_grace_period(grace);
+    assert!(plan.abort_after >= grace * 5 / 6, "{plan:?}");
+    assert!(plan.abort_after + Duration::from_millis(150) <= grace, "{plan:?}");
+    assert!(plan.refuse_after + Duration::from_millis(500) <= plan.abort_after, "{plan:?}");
     assert!(plan.refuse_after <= Duration::from_secs(3), "callers go elsewhere by then");
 }
--- a/crates/tansyknot-fleet/tests/support/calls.rs
+++ b/crates/tansyknot-fleet/tests/support/calls.rs
@@ -69,7 +69,7 @@
         let is_planner = self.conductor.is_planner();
         let was_planner = std::mem::replace(&mut self.was_planner, is_planner);
         if is_planner && !was_planner {
-            self.follower.read_anew();
+            self.follower.request_full_read();
         }
         if is_planner || self.state.list_fresh_for(now).is_zero() {
             let mut draw = |range: Range<u64>| Duration::from_millis(rng.random_range(range));
@@ -83,13 +83,13 @@
     /// Has a call reach the store, or its answer come back, when that is due.
     fn go_on(&mut self, mut pending: Pending, now: Time) {
         if pending.answer.is_none() && now >= pending.asked_at {
-            pending.answer = Some(self.follower.ask(pending.call));
+            pending.answer = Some(self.follower.request(pending.call));
         }
         let Some(answer) = pending.answer.take_if(|_| now >= pending.ends_at) else {
             self.pending = Some(pending);
             return;
         };
-        let is_late = now.since(pending.call.began()) > CALL_TIMEOUT;
+        let is_late = now.since(pending.call.started_at()) > CALL_TIMEOUT;
         let answer = if is_late { Err(Error::unknown("store", "timeout")) } else { answer };
         let outcome = self.follower.end(pending.call, answer);
         self.failures = if outcome == CallOutcome::Failed { self.failures + 1 } else { 0 };
@@ -100,9 +100,11 @@
     fn pause(&self, outcome: CallOutcome) -> Duration {
         match outcome {
             CallOutcome::HistoryLost => Duration::ZERO,
-            CallOutcome::Failed => backoff::grown(RETRY_FIRST, self.failures - 1, RETRY_MOST),
-            CallOutcome::Answered if self.conductor.is_planner() => self.state.spans.list_pace,
-            CallOutcome::Answered => self.state.list_pace(),
+            CallOutcome::Failed => backoff::exponential(RETRY_FIRST, self.failures - 1, RETRY_MOST),
+            CallOutcome::Succeeded if self.conductor.is_planner() => {
+                self.state.spans.list_poll_interval
+            }
+            CallOutcome::Succeeded => self.state.list_poll_interval(),
         }
     }
 }
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
 use tansyknot_core::clock::Time;
 use tansyknot_fleet::poison::{
-    CRASHES_CONVICT, CheckState, Presence,
+    CRASHES_TO_CONVICT, CheckState, Presence,
     key::{RequestKey, RunKey},
 };
 
@@ -237,7 +237,7 @@
         {
             let mut poison = node.state.poison();
             if poison.cut_off(sent.key, RunKey(run), sent.opened, now) == CheckState::Due {
-                poison.looked(RunKey(run), presence, now);
+                poison.record_check(RunKey(run), presence, now);
             }
         }
         if sent.sends < SENDS && node.runs_at(now) {
@@ -331,7 +331,7 @@
     fn crash(&mut self, sent: Sent, now: Time) {
         let story = self.stories.entry(sent.key).or_default();
         story.crashes.push(now);
-        if story.crashes.len() == CRASHES_CONVICT {
+        if story.crashes.len() == CRASHES_TO_CONVICT {
             self.due.push((now + KNOWN_WITHIN, sent.key));
         }
         self.under_way.push(sent);
@@ -364,7 +364,7 @@
 
     fn check_sends(&mut self) {
         for (key, story) in &self.stories {
-            let Some(third) = story.crashes.get(CRASHES_CONVICT - 1) else { continue };
+            let Some(third) = story.crashes.get(CRASHES_TO_CONVICT - 1) else { continue };
             let begun = story.sends.iter().filter(|(at, _)| at > third).count();
             self.outcome.begun_after = self.outcome.begun_after.max(begun);
             if self.is_calm() && begun > CALM_SENDS {
--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -59,18 +59,18 @@
         let fake = Self { told: Some((Arc::clone(state), target.clone())), ..Self::default() };
         fake.engine().models.clone_from(&target.models);
         fake.engine().most_models = target.models.len();
-        state.fleet().set_all(vec![target.clone()], target.version, None, state.now());
+        state.fleet().apply_full_list(vec![target.clone()], target.version, None, state.now());
         fake
     }
 
     fn tell(&self, engine: &Engine1) {
         let Some((state, target)) = &self.told else { return };
         let version = 1 + engine.orders;
-        let (models, born) = (engine.models.clone(), engine.born);
-        let target = Target { models, born, version, ..target.clone() };
+        let (models, started_at) = (engine.models.clone(), engine.born);
+        let target = Target { models, started_at, version, ..target.clone() };
         let now = state.now();
-        state.fleet().apply(TargetChange::Put(Box::new(target)), now);
-        state.targets_changed.raise();
+        state.fleet().apply_change(TargetChange::Put(Box::new(target)), now);
+        state.targets_changed.notify();
     }
 
     pub(crate) fn engine(&self) -> MutexGuard<'_, Engine1> {
@@ -85,7 +85,7 @@
 
 impl Engine1 {
     fn carry_out(&mut self, order: &Order) -> OrderReply {
-        if order.expected != self.orders {
+        if order.expected_orders != self.orders {
             return OrderReply::Conflict;
         }
         match &order.action {
@@ -137,7 +137,7 @@
 
     fn report(&self, _: &Target) -> Result<Report> {
         let engine = self.engine();
-        let (orders, models) = (engine.orders, engine.models.clone());
-        Ok(Report { born: engine.born, busy: false, orders, models })
+        let (accepted_orders, models) = (engine.orders, engine.models.clone());
+        Ok(Report { born: engine.born, busy: false, accepted_orders, models })
     }
 }
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -77,7 +77,7 @@
             Arc::new(door.clone()),
             Arc::clone(&lease),
             me,
-            LeaseOptions { turn: TURN },
+            LeaseOptions { handover_interval: TURN },
             reluctance,
         ));
         Self {
@@ -99,14 +99,14 @@
         }
         if self.may_order() {
             // It orders whenever it may.
-            self.lease.ordered(&TargetName::from("t"), self.clock.now());
+            self.lease.record_order(&TargetName::from("t"), self.clock.now());
             *self.ordered.borrow_mut() = Some((self.clock.now(), self.lease.fence()));
         }
     }
 
     /// Tells whether it may order the target `t`, which it has the row name.
     pub(crate) fn may_order(&self) -> bool {
-        self.keeper.cover(&TargetName::from("t")).is_some()
+        self.keeper.add_target(&TargetName::from("t")).is_some()
     }
 
     /// Returns the last moment at which it could order if it is not asked any more.
@@ -149,7 +149,7 @@
     let names = |list: &[&str]| list.iter().map(|m| ModelName::from(*m)).collect();
     Target {
         name: TargetName::from(name),
-        born: None,
+        started_at: None,
         service: ServiceName::from("s"),
         address: ([127, 0, 0, 1], 9).into(),
         zone: ZoneName::from("z1"),
@@ -196,12 +196,12 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        repeat: Repeatability::Stream,
+        repeatability: Repeatability::Stream,
         timeout: Duration::from_secs(25),
         objective: Duration::from_millis(2500),
         gap_objective: None,
         priority: 0,
-        attempts_max: 1,
+        max_attempts: 1,
         split: vec![(ServiceName::from("s"), 1)],
         is_public: false,
     };
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -19,7 +19,7 @@
 use tansyknot_fleet::{
     access::AccessOptions,
     budget::BudgetOptions,
-    dissemination::heartbeat::{BEAT, StepReason},
+    dissemination::heartbeat::{HEARTBEAT_INTERVAL, StepReason},
     follow::{ConfigFollower, TargetFollower},
     freshness::{Bounds, FreshnessLimits},
     lease::{LeaseHolder, LeaseOptions},
@@ -159,7 +159,7 @@
             rng: StdRng::seed_from_u64(5),
             changes: 0,
             runs: 0,
-            spans: FreshnessLimits::of(&Bounds { leave_within, ..Bounds::default() }),
+            spans: FreshnessLimits::from_bounds(&Bounds { leave_within, ..Bounds::default() }),
         };
         network.nodes = (0..daemons).map(|n| network.node(n)).collect();
         network
@@ -203,7 +203,7 @@
         let door = Door { table: self.table.clone(), is_cut: Arc::clone(&is_cut) };
         let store: Arc<dyn Store> = Arc::new(door);
         let reluctance = if is_good { Reluctance::None } else { Reluctance::Reluctant };
-        let options = LeaseOptions { turn: TURN };
+        let options = LeaseOptions { handover_interval: TURN };
         let keeper = LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
@@ -220,7 +220,7 @@
             targets: Arc::new(FakeTarget::default()),
             recorder: Arc::new(NoRecorder),
             daemon: Arc::clone(&daemon),
-            due: 0.into(),
+            overdue_loads: 0.into(),
             ledger: Mutex::default(),
         });
         let (clock, traffic) = (self.clock.clone(), Arc::clone(&self.traffic));
@@ -310,7 +310,7 @@
                 && !is_cut
                 && !self.rng.random_bool(self.loss)
             {
-                to.conductor.take(&datagram.bytes, datagram.from);
+                to.conductor.handle_datagram(&datagram.bytes, datagram.from);
             }
         }
     }
@@ -371,14 +371,14 @@
         self.calls.step(now, latency, rng);
         self.takes_requests = self.takes_requests || self.poison.read();
         self.follow_config(now);
-        self.conductor.tell_crashes();
+        self.conductor.publish_evidence();
         self.conductor.grant_permits();
         // What is not written now is tried again with the next step.
         self.poison.step(self.conductor.is_planner());
         let count = self.state.demand_changed.count();
         if now >= self.beat_at {
-            self.beat_at = now + BEAT;
-            self.conductor.step(StepReason::Beat);
+            self.beat_at = now + HEARTBEAT_INTERVAL;
+            self.conductor.step(StepReason::Heartbeat);
         } else if count != self.seen {
             self.conductor.step(StepReason::Change);
         }
@@ -400,7 +400,7 @@
         if !is_planner && mine > 0 && !self.state.config_fresh_for(mine).is_zero() {
             return;
         }
-        self.config.hurry();
+        self.config.skip_next_wait();
         // What a daemon draws for its pauses is not of the seed.
         self.config_at = match self.config.step() {
             _ if self.is_cut() => now + CONFIG_RETRY,
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -57,17 +57,17 @@
         let demand = Demand {
             daemon: daemon.into(),
             incarnation: "run-1".into(),
-            beat: self.beat,
+            seq: self.beat,
             zone: "z1".into(),
             link_mbps: None,
-            known: ReceivedState::default(),
+            received: ReceivedState::default(),
             models: uses.to_vec(),
             in_flight,
             poison: Default::default(),
             crashes: Vec::new(),
             signals: Vec::new(),
         };
-        self.planner.hear(demand, self.now);
+        self.planner.record_demand(demand, self.now);
     }
 
     pub(crate) fn plan(&mut self) -> Vec<Task> {
--- a/crates/tansyknot-fleet/tests/support/signals.rs
+++ b/crates/tansyknot-fleet/tests/support/signals.rs
@@ -173,8 +173,8 @@
         self.starts += 1;
         let model = if n == LONE { "m9" } else { "m0" };
         let fresh = target(&format!("t{}", self.starts), &[model], &[]);
-        let born = Some(StartTime(self.starts as u64));
-        let entry = Target { name: name.unwrap_or(fresh.name), born, slots: 32, ..fresh };
+        let started_at = Some(StartTime(self.starts as u64));
+        let entry = Target { name: name.unwrap_or(fresh.name), started_at, slots: 32, ..fresh };
         self.network.table.put(entry.clone());
         let now = self.now();
         Actor {
@@ -334,7 +334,7 @@
         if signals.leaving == SignalField::Value(()) {
             self.told_leaving.entry(told).or_insert(now);
         }
-        if let SignalField::Value(span) = signals.rest {
+        if let SignalField::Value(span) = signals.retry_delay {
             let until = self.told_rest.entry(told).or_default();
             *until = (*until).max(now + span);
         }
@@ -342,11 +342,11 @@
         let at = Interval { sent: flight.began, received: now };
         let is_changed = {
             let mut fleet = state.fleet();
-            fleet.leave(&flight.target.name, Some(&flight.req.model));
-            !fleet.hear_signals(&flight.target, signals, outcome, at).is_empty()
+            fleet.end_request(&flight.target.name, Some(&flight.req.model));
+            !fleet.record_signals(&flight.target, signals, outcome, at).is_empty()
         };
         if is_changed {
-            state.view_changed();
+            state.notify_view_changed();
         }
         self.result.served += usize::from(outcome == Outcome::Ran);
         let run = RunKey::of(&flight.target);
--- a/crates/tansyknot-fleet/tests/support/signals/actor.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/actor.rs
@@ -82,11 +82,11 @@
 
     pub(super) fn signals(&self) -> Signals {
         let limit = self.limit().and_then(Rate::new);
-        let leaving = self.leaving.map_or(SignalField::Nothing, |_| SignalField::Value(()));
+        let leaving = self.leaving.map_or(SignalField::Absent, |_| SignalField::Value(()));
         Signals {
-            limit: limit.map_or(SignalField::Nothing, SignalField::Value),
+            limit: limit.map_or(SignalField::Absent, SignalField::Value),
             leaving,
-            rest: SignalField::Nothing,
+            retry_delay: SignalField::Absent,
         }
     }
 }
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -135,18 +135,18 @@
         let pick = state.fleet().pick(&want, &req.tried, now, &mut self.rng);
         let found = match pick {
             Pick::Target(target) => Found::Target(target),
-            Pick::Limited { target, or_at } => match self.turn(req, &target, now) {
+            Pick::Limited { target, available_at } => match self.turn(req, &target, now) {
                 Progress::Granted(permit) => {
                     req.permit = Some(permit);
-                    state.fleet().enter(&target.name, Some(&req.model), now);
+                    state.fleet().begin_request(&target.name, Some(&req.model), now);
                     Found::Target(target)
                 }
                 Progress::Waiting { expected: Some(at) }
-                    if at > req.until && or_at.is_none_or(|at| at > req.until) =>
+                    if at > req.until && available_at.is_none_or(|at| at > req.until) =>
                 {
                     Found::InVain
                 }
-                Progress::Waiting { .. } | Progress::AskDue => return Found::Nothing,
+                Progress::Waiting { .. } | Progress::SendDue => return Found::Nothing,
             },
             _ => Found::Nothing,
         };
@@ -162,9 +162,9 @@
         }
         let (number, _) = *req.asking.get_or_insert_with(|| (node.state.permits().begin(run), run));
         let progress = node.state.permits().progress(number, now);
-        if progress == Progress::AskDue {
+        if progress == Progress::SendDue {
             let (priority, left) = (req.priority, req.until.since(now));
-            node.conductor.ask(PermitRequest { number, run, priority, left });
+            node.conductor.request(PermitRequest { number, run, priority, left });
         }
         node.state.permits().progress(number, now)
     }
@@ -174,15 +174,16 @@
         let node = &self.network.nodes[req.daemon];
         let is_unanswered = node.state.permits().end(number);
         if is_unanswered {
-            node.conductor.end(number, run);
+            node.conductor.cancel(number, run);
         }
     }
 
     pub(super) fn give_up(&mut self, req: &mut Request, now: Time) {
         self.end_asking(req);
         let fleet = self.network.nodes[req.daemon].state.fleet();
-        let is_listed =
-            |entry: &Target| fleet.target(&entry.name).is_some_and(|t| t.born == entry.born);
+        let is_listed = |entry: &Target| {
+            fleet.target(&entry.name).is_some_and(|t| t.started_at == entry.started_at)
+        };
         let is_sound =
             |a: &&Actor| a.is_sound(now) && a.entry.holds(&req.model, None) && is_listed(&a.entry);
         let sound = self.actors.iter().find(is_sound);
@@ -243,7 +244,7 @@
                 let mut signals = actor.signals();
                 let mut outcome = Outcome::Ran;
                 if now < actor.rests_until {
-                    signals.rest = SignalField::Value(actor.rests_until.since(now));
+                    signals.retry_delay = SignalField::Value(actor.rests_until.since(now));
                     outcome = Outcome::NotRun;
                 }
                 if self.rng.random_bool(self.troubles.garbled) {
@@ -268,14 +269,14 @@
     /// The target is not there any more.
     pub(super) fn unreachable(&mut self, mut flight: Flight, now: Time) {
         let state = &self.network.nodes[flight.req.daemon].state;
-        state.fleet().unreachable(&flight.target.name, now);
+        state.fleet().record_unreachable(&flight.target.name, now);
         flight.req.tried.push(flight.target.name.clone());
         self.look_again(flight, now);
     }
 
     pub(super) fn look_again(&mut self, flight: Flight, now: Time) {
         let Flight { req, target, .. } = flight;
-        self.network.nodes[req.daemon].state.fleet().leave(&target.name, Some(&req.model));
+        self.network.nodes[req.daemon].state.fleet().end_request(&target.name, Some(&req.model));
         self.waiting.push(Request { permit: None, look_at: now, ..req });
     }
 }
--- a/crates/tansyknot-fleet/tests/support/simulation.rs
+++ b/crates/tansyknot-fleet/tests/support/simulation.rs
@@ -347,8 +347,8 @@
         let mut fleet = planner.state.fleet();
         let Some(state) = fleet.target(&name).map(|t| t.state) else { return };
         let models = vec![held("m5", &[])];
-        let note = TargetOverride { target: name, born: None, revision, state, models };
-        fleet.note(&note, planner.lease.fence(), now);
+        let note = TargetOverride { target: name, started_at: None, revision, state, models };
+        fleet.apply_override(&note, planner.lease.fence(), now);
     }
 
     /// Checks what undisturbed daemons know against what the store was told.
@@ -358,14 +358,14 @@
             |n: &usize| now.since(self.disturbed[*n].max(self.store_away_until)) >= CONTACT;
         for n in (0..self.network.nodes.len()).filter(in_touch) {
             let fleet = self.network.nodes[n].state.fleet();
-            let is_ready = |name: &TargetName| fleet.takes_work(name, now);
+            let is_ready = |name: &TargetName| fleet.accepts_work(name, now);
             let is_late = |at: &Time| now.since(*at) > self.leave_within + STEP;
             let mut late =
                 self.left.iter().filter(|(_, (at, is_stable))| *is_stable && is_late(at));
             if let Some((name, (at, _))) = late.find(|(name, _)| is_ready(name)) {
                 let ms = now.since(*at).as_millis();
-                let known = self.network.nodes[n].state.followed().known(now);
-                let kept = if fleet.kept().any(|kept| kept == name) { "kept" } else { "ready" };
+                let known = self.network.nodes[n].state.planner_view().known(now);
+                let kept = if fleet.retained().any(|kept| kept == name) { "kept" } else { "ready" };
                 let what = format!("d{n}: {name} is {kept} {ms} ms after it left: {known:?}");
                 return Err(Broken { what, daemon: n, target: name.clone() });
             }
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -9,12 +9,12 @@
     access::{
         self, AccessOptions, Denied, RequestCredentials,
         message::Verdict,
-        share::{self, SILENT_AFTER},
+        share::{self, UNRESPONSIVE_AFTER},
         team::{Quota, Team, TeamEntry, Teams, Unit},
         view::ViewOptions,
     },
     catalog::Catalog,
-    peering::quota::{ANSWER_WITHIN, CUT_OFF_AFTER},
+    peering::quota::{MAX_PLANNER_OUTAGE, REPLY_TIMEOUT},
 };
 
 use super::{hosts::Hosts, network::Network};
@@ -209,7 +209,7 @@
         };
         let entry = |team: usize| {
             let rate = self.ledgers[team].rate;
-            let quota = Quota { unit: Unit::Tokens, rate, burst: rate, plain: 200.0 };
+            let quota = Quota { unit: Unit::Tokens, rate, burst: rate, default_units: 200.0 };
             let (name, quota) = (name(team), Some(quota));
             TeamEntry { team: Team { name, priority: None, quota }, keys: keys_of(team) }
         };
@@ -310,7 +310,7 @@
     fn is_admitted(&mut self, daemon: usize, key: usize, now: Time) -> bool {
         let is_bound = self.is_bound(daemon, now);
         let state = &self.network.nodes[daemon].state;
-        let (catalog, view) = state.in_force();
+        let (catalog, view) = state.active_catalog_and_keys();
         let Some(catalog) = catalog else { return false };
         let Some(teams) = &catalog.teams else { return false };
         let Key { text, added, removed, .. } = &self.keys[key];
@@ -348,15 +348,15 @@
         let units = self.rng.random_range(0.3..1.7) * COST;
         let has_room = self.ledgers[team].has_room(units, now);
         let node = &self.network.nodes[daemon];
-        let number = node.state.pending().ask(&name(team), units, now);
-        let silent = node.state.pending().silent_for(now);
+        let number = node.state.pending().begin(&name(team), units, now);
+        let silent = node.state.pending().unanswered_for(now);
         let draw = self.rng.random();
-        let is_lent = silent >= SILENT_AFTER
+        let is_lent = silent >= UNRESPONSIVE_AFTER
             && !node.conductor.is_planner()
             && node.state.pending().take_lent(&name(team), units, draw, now);
         let verdict = match is_lent {
             true => None,
-            false => node.conductor.send_take(number, &name(team), units),
+            false => node.conductor.request_quota(number, &name(team), units),
         };
         let epoch = self.hosts.epoch(daemon);
         let waiting = Waiting {
@@ -389,31 +389,31 @@
                 self.waiting.push(w);
                 continue;
             }
-            let answer = node.state.pending().answer(w.number);
+            let answer = node.state.pending().verdict(w.number);
             if let Some(verdict) = answer.filter(|verdict| *verdict != Verdict::Later) {
                 self.end(&w, verdict);
                 continue;
             }
-            if now.since(w.asked) < ANSWER_WITHIN {
+            if now.since(w.asked) < REPLY_TIMEOUT {
                 self.waiting.push(w);
                 continue;
             }
             let draw = self.rng.random();
             let is_later = answer.is_some() || w.is_told_later;
             (w.is_told_later, w.asked) = (false, now);
-            node.state.pending().ask_again(w.number);
+            node.state.pending().clear_verdict(w.number);
             if !is_later && node.state.pending().take_lent(&name(w.team), w.units, draw, now) {
                 node.state.pending().end(w.number);
                 self.passed(&w);
                 continue;
             }
-            let silent = node.state.pending().silent_for(now);
-            if now.since(w.arrived) >= share::LIFE || silent >= CUT_OFF_AFTER {
+            let silent = node.state.pending().unanswered_for(now);
+            if now.since(w.arrived) >= share::SHARE_LIFETIME || silent >= MAX_PLANNER_OUTAGE {
                 node.state.pending().end(w.number);
                 self.refused(&w);
                 continue;
             }
-            match node.conductor.send_take(w.number, &name(w.team), w.units) {
+            match node.conductor.request_quota(w.number, &name(w.team), w.units) {
                 Some(Verdict::Later) => {
                     w.is_told_later = true;
                     self.waiting.push(w);
@@ -431,7 +431,7 @@
         pending.end(w.number);
         match verdict {
             Verdict::Granted => {
-                pending.granted(&name(w.team), w.units, now);
+                pending.deduct_granted(&name(w.team), w.units, now);
                 drop(pending);
                 // Some are not run, for want of a target, and are given back.
                 if self.rng.random_bool(0.1) {
--- a/crates/tansyknot-fleet/tests/task.rs
+++ b/crates/tansyknot-fleet/tests/task.rs
@@ -46,7 +46,7 @@
         targets: Arc::new(fake.clone()),
         recorder: Arc::new(NoRecorder),
         daemon: "a".into(),
-        due: 0.into(),
+        overdue_loads: 0.into(),
         ledger: Default::default(),
     };
     Rig { clock, daemon, fake, orders, target }
@@ -61,7 +61,7 @@
 }
 
 fn exchange(target: &Target, out: &str, into: &str) -> Task {
-    let step = |action| Step { action, takes: Duration::ZERO };
+    let step = |action| Step { action, expected_duration: Duration::ZERO };
     let model = |name: &str| ModelName::from(name);
     let steps = vec![
         step(Action::Remove { model: model(out), adapter: None }),
@@ -178,7 +178,7 @@
 fn target_that_has_started_again_is_planned_with_anew() {
     let rig = rig();
     rig.fake.engine().born = Some(StartTime(100));
-    let target = Target { born: Some(StartTime(100)), ..rig.target.clone() };
+    let target = Target { started_at: Some(StartTime(100)), ..rig.target.clone() };
     assert_eq!(rig.orders.run(&exchange(&target, "m1", "m3")), TaskOutcome::Done);
     {
         let mut engine = rig.fake.engine();
@@ -193,12 +193,13 @@
     assert_ne!(sent, TaskOutcome::Done);
     assert_eq!(rig.fake.engine().orders, 0);
     // Planned with the new run, whose count begins at zero.
-    let anew = Target { born: Some(StartTime(200)), models: Vec::new(), version: 99, ..rig.target };
+    let anew =
+        Target { started_at: Some(StartTime(200)), models: Vec::new(), version: 99, ..rig.target };
     let step = Step {
         action: Action::Load { model: ModelName::from("m1"), adapter: None },
-        takes: Duration::ZERO,
+        expected_duration: Duration::ZERO,
     };
-    rig.daemon.state.fleet().apply(
+    rig.daemon.state.fleet().apply_change(
         tansyknot_fleet::platform_api::TargetChange::Put(Box::new(anew.clone())),
         rig.clock.now(),
     );
--- a/crates/tansyknot-fleet/tests/versions.rs
+++ b/crates/tansyknot-fleet/tests/versions.rs
@@ -16,7 +16,7 @@
         message::TargetOverride,
         planner_view::PlannerView,
     },
-    fleet::{Fleet, LAPSE_GRACE},
+    fleet::{EXPIRY_GRACE, Fleet},
     freshness::FreshnessLimits,
     platform_api::TargetChange,
     target::{Removal, Target, TargetState},
@@ -44,8 +44,8 @@
 /// Makes a view that has read `t1`, of version 5, as of version 10.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
-    fleet.set_all(vec![entry("t1", 5)], 10, None, at(0));
-    fleet.read(10, at(0));
+    fleet.apply_full_list(vec![entry("t1", 5)], 10, None, at(0));
+    fleet.complete_read(10, at(0));
     fleet
 }
 
@@ -53,13 +53,13 @@
 fn returned() -> Fleet {
     let mut fleet = fleet();
     fleet.store_returned(at(3_900), at(4_000));
-    fleet.set_all(vec![entry("t1", 5)], 20, Some(10), at(4_000));
-    fleet.read(20, at(4_000));
+    fleet.apply_full_list(vec![entry("t1", 5)], 20, Some(10), at(4_000));
+    fleet.complete_read(20, at(4_000));
     fleet
 }
 
 fn takes_work(fleet: &Fleet, name: &str, now: Time) -> bool {
-    fleet.takes_work(&TargetName::from(name), now)
+    fleet.accepts_work(&TargetName::from(name), now)
 }
 
 #[parameterized(
@@ -68,8 +68,8 @@
 )]
 fn entry_that_a_reading_did_not_have_counts_if_it_is_newer(version: u64, counts: bool) {
     let mut fleet = fleet();
-    let told = Entry::of(&entry("t2", version));
-    fleet.apply_news(Change::Put(told), FENCE, at(10));
+    let told = Entry::from_target(&entry("t2", version));
+    fleet.apply_update(Change::Put(told), FENCE, at(10));
     assert_eq!(takes_work(&fleet, "t2", at(10)), counts);
 }
 
@@ -79,7 +79,7 @@
 )]
 fn removal_counts_if_it_is_newer_than_the_entry(version: u64, stays: bool) {
     let mut fleet = fleet();
-    fleet.apply_news(Change::Removed(removal("t1", version)), FENCE, at(10));
+    fleet.apply_update(Change::Removed(removal("t1", version)), FENCE, at(10));
     assert_eq!(takes_work(&fleet, "t1", at(10)), stays);
 }
 
@@ -88,14 +88,14 @@
     let mut fleet = fleet();
     let note = TargetOverride {
         target: TargetName::from("t1"),
-        born: None,
+        started_at: None,
         revision: 1,
         state: TargetState::Draining,
         models: vec![held("m0", &[])],
     };
-    fleet.note(&note, FENCE, at(10));
+    fleet.apply_override(&note, FENCE, at(10));
     assert!(!takes_work(&fleet, "t1", at(10)));
-    fleet.apply(put("t1", 11), at(20));
+    fleet.apply_change(put("t1", 11), at(20));
     assert!(!takes_work(&fleet, "t1", at(20)));
 }
 
@@ -103,24 +103,24 @@
 #[test]
 fn removal_of_a_target_that_is_not_known_is_told() {
     let mut fleet = fleet();
-    let before = fleet.log.last();
-    fleet.apply(TargetChange::Removed(removal("t2", 12)), at(10));
-    let news = fleet.log.news(before, ListRead::default(), at(10));
+    let before = fleet.log.last_number();
+    fleet.apply_change(TargetChange::Removed(removal("t2", 12)), at(10));
+    let news = fleet.log.changes_after(before, ListRead::default(), at(10));
     assert_eq!(news.changes, vec![(before + 1, Change::Removed(removal("t2", 12)))]);
 }
 
 #[test]
 fn planner_that_has_not_read_the_list_is_not_joined() {
     let mut follower = PlannerView::default();
-    let mark = follower.before_call();
-    follower.after_call(mark, 9);
+    let mark = follower.call_mark();
+    follower.record_call(mark, 9);
     let mut log = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default()).log;
-    follower.list(FENCE, log.news(0, ListRead::default(), at(0)), at(0));
-    assert!(follower.is_missing());
-    assert_eq!(log.known_at(9), None);
+    follower.apply_list_update(FENCE, log.changes_after(0, ListRead::default(), at(0)), at(0));
+    assert!(follower.has_gap());
+    assert_eq!(log.number_at_version(9), None);
     log.skip(9);
-    follower.list(FENCE, log.news(0, ListRead::default(), at(0)), at(0));
-    assert!(!follower.is_missing());
+    follower.apply_list_update(FENCE, log.changes_after(0, ListRead::default(), at(0)), at(0));
+    assert!(!follower.has_gap());
 }
 
 #[parameterized(
@@ -134,13 +134,13 @@
     is_gapped: bool,
 ) {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
-    fleet.set_all(vec![entry("t1", 5)], version, None, at(0));
-    fleet.read(version, at(0));
+    fleet.apply_full_list(vec![entry("t1", 5)], version, None, at(0));
+    fleet.complete_read(version, at(0));
     let whole = FullRead { after: 12, version: 20 };
-    fleet.apply_news(Change::Whole(whole), FENCE, at(10));
-    assert_eq!(fleet.is_gapped(), is_gapped);
-    fleet.set_all(vec![entry("t1", 5)], 21, Some(version), at(20));
-    assert!(!fleet.is_gapped());
+    fleet.apply_update(Change::FullRead(whole), FENCE, at(10));
+    assert_eq!(fleet.has_gap(), is_gapped);
+    fleet.apply_full_list(vec![entry("t1", 5)], 21, Some(version), at(20));
+    assert!(!fleet.has_gap());
 }
 
 // The answer was made between the planner's readings and came in after the news of the second one.
@@ -153,23 +153,27 @@
     is_gapped: bool,
 ) {
     let mut fleet = fleet();
-    fleet.apply_news(Change::Whole(FullRead { after: 12, version: 20 }), FENCE, at(10));
-    assert!(!fleet.is_gapped());
-    fleet.apply(put("t2", 13), at(20));
-    fleet.read(version, at(5));
-    assert_eq!(fleet.is_gapped(), is_gapped);
+    fleet.apply_update(Change::FullRead(FullRead { after: 12, version: 20 }), FENCE, at(10));
+    assert!(!fleet.has_gap());
+    fleet.apply_change(put("t2", 13), at(20));
+    fleet.complete_read(version, at(5));
+    assert_eq!(fleet.has_gap(), is_gapped);
 }
 
 #[test]
 fn what_was_gone_by_the_stores_return_is_kept_as_long_as_it_may_take_to_come_back() {
     let mut fleet = fleet();
     fleet.store_returned(at(3_900), at(4_000));
-    fleet.set_all(Vec::new(), 20, Some(10), at(4_000));
-    fleet.read(20, at(4_000));
-    let end = at(4_000) + LAPSE_GRACE;
+    fleet.apply_full_list(Vec::new(), 20, Some(10), at(4_000));
+    fleet.complete_read(20, at(4_000));
+    let end = at(4_000) + EXPIRY_GRACE;
     assert!(takes_work(&fleet, "t1", end.before(Duration::from_millis(1))));
     assert!(!takes_work(&fleet, "t1", end));
-    assert_eq!(fleet.told(end).version, 10, "others are not told as of what is held back");
+    assert_eq!(
+        fleet.advertised_read(end).version,
+        10,
+        "others are not told as of what is held back"
+    );
 }
 
 // A host that was cut off keeps the bounds again 3 s after that, and its call failed by then.
@@ -177,7 +181,7 @@
 fn nothing_is_kept_once_the_daemon_is_held_to_the_bounds_again() {
     let mut fleet = fleet();
     fleet.store_returned(at(2_500), at(4_000));
-    fleet.set_all(Vec::new(), 20, Some(10), at(4_000));
+    fleet.apply_full_list(Vec::new(), 20, Some(10), at(4_000));
     assert!(takes_work(&fleet, "t1", at(5_000)));
     assert!(!takes_work(&fleet, "t1", at(5_500)));
 }
@@ -185,28 +189,28 @@
 #[test]
 fn what_goes_after_the_stores_return_is_kept_for_less_than_a_view_may_be_old() {
     let mut fleet = returned();
-    fleet.apply(TargetChange::Removed(removal("t1", 21)), at(4_600));
+    fleet.apply_change(TargetChange::Removed(removal("t1", 21)), at(4_600));
     assert!(takes_work(&fleet, "t1", at(4_700)));
     let spans = FreshnessLimits::default();
-    let end = at(4_600) + (spans.list - spans.list_pace);
+    let end = at(4_600) + (spans.max_list_age - spans.list_poll_interval);
     assert!(!takes_work(&fleet, "t1", end));
 }
 
 #[test]
 fn entry_that_was_written_since_the_stores_return_has_not_lapsed() {
     let mut fleet = returned();
-    fleet.apply(put("t1", 21), at(4_300));
-    fleet.apply(TargetChange::Removed(removal("t1", 22)), at(4_600));
+    fleet.apply_change(put("t1", 21), at(4_300));
+    fleet.apply_change(TargetChange::Removed(removal("t1", 22)), at(4_600));
     assert!(!takes_work(&fleet, "t1", at(4_600)));
 }
 
 #[test]
 fn older_entry_does_not_end_the_wait_for_one_that_is_gone() {
     let mut fleet = returned();
-    fleet.apply(TargetChange::Removed(removal("t1", 23)), at(4_600));
-    fleet.apply(put("t1", 22), at(4_610));
+    fleet.apply_change(TargetChange::Removed(removal("t1", 23)), at(4_600));
+    fleet.apply_change(put("t1", 22), at(4_610));
     fleet.expire(at(9_000));
     assert!(!takes_work(&fleet, "t1", at(9_000)));
-    fleet.apply(put("t1", 24), at(9_010));
+    fleet.apply_change(put("t1", 24), at(9_010));
     assert!(takes_work(&fleet, "t1", at(9_010)), "a newer one counts");
 }
--- a/crates/tansyknot-fleet/tests/view.rs
+++ b/crates/tansyknot-fleet/tests/view.rs
@@ -50,8 +50,8 @@
 
 fn fleet(targets: Vec<Target>) -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
-    fleet.signals_synced();
-    fleet.set_all(targets, 1, None, at(0));
+    fleet.mark_signals_synced();
+    fleet.apply_full_list(targets, 1, None, at(0));
     fleet
 }
 
@@ -59,7 +59,7 @@
     let tried: Vec<TargetName> = tried.iter().map(|t| TargetName::from(*t)).collect();
     match fleet.pick(&want.get(), &tried, now, &mut StdRng::seed_from_u64(1)) {
         Pick::Target(t) => t.name.to_string(),
-        Pick::Resting(_) => "resting".to_owned(),
+        Pick::BackingOff(_) => "resting".to_owned(),
         Pick::Limited { target, .. } => format!("{} in its turn", target.name),
         Pick::Full => "full".to_owned(),
         Pick::NotLoaded => "not loaded".to_owned(),
@@ -75,7 +75,7 @@
 fn note(name: &str, revision: u64, models: &[&str]) -> TargetOverride {
     TargetOverride {
         target: TargetName::from(name),
-        born: None,
+        started_at: None,
         revision,
         state: TargetState::Ready,
         models: models.iter().map(|m| held(m, &[])).collect(),
@@ -94,17 +94,17 @@
 #[test]
 fn older_entry_changes_nothing() {
     let mut f = fleet(vec![]);
-    f.apply(newer(target("t1", &["m1"], &[]), 5), at(0));
-    f.apply(newer(target("t1", &["m0"], &[]), 4), at(10));
+    f.apply_change(newer(target("t1", &["m1"], &[]), 5), at(0));
+    f.apply_change(newer(target("t1", &["m0"], &[]), 4), at(10));
     assert_eq!(pick(&mut f, &wants("m1"), &[], at(20)), "t1");
 }
 
 #[test]
 fn planners_note_goes_before_the_list_until_the_list_agrees_or_it_is_old() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
-    f.note(&note("t1", 1, &["m1"]), 7, at(0));
+    f.apply_override(&note("t1", 1, &["m1"]), 7, at(0));
     // A heartbeat that was written before the order does not bring the old model back.
-    f.apply(newer(target("t1", &["m0"], &[]), 2), at(100));
+    f.apply_change(newer(target("t1", &["m0"], &[]), 2), at(100));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(100)), "not loaded");
     assert_eq!(pick(&mut f, &wants("m1"), &[], at(100)), "t1");
     f.expire(at(3_000));
@@ -114,10 +114,10 @@
 #[test]
 fn notes_that_overtake_each_other_are_told_apart() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
-    f.note(&note("t1", 2, &["m2"]), 7, at(0));
-    f.note(&note("t1", 1, &["m1"]), 7, at(1));
+    f.apply_override(&note("t1", 2, &["m2"]), 7, at(0));
+    f.apply_override(&note("t1", 1, &["m1"]), 7, at(1));
     assert_eq!(pick(&mut f, &wants("m2"), &[], at(2)), "t1");
-    f.note(&note("t1", 1, &["m3"]), 8, at(3));
+    f.apply_override(&note("t1", 1, &["m3"]), 8, at(3));
     assert_eq!(pick(&mut f, &wants("m3"), &[], at(4)), "t1");
 }
 
@@ -125,9 +125,9 @@
 fn leaving_target_gets_nothing() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
     let leaving = Target { state: TargetState::Draining, ..target("t1", &["m0"], &[]) };
-    f.apply(newer(leaving, 2), at(0));
+    f.apply_change(newer(leaving, 2), at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(0)), "no target");
-    f.note(&note("t1", 1, &["m0"]), 7, at(10));
+    f.apply_override(&note("t1", 1, &["m0"]), 7, at(10));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(20)), "no target");
 }
 
@@ -135,9 +135,9 @@
 fn entry_that_lapsed_while_the_store_was_away_stays_until_it_would_be_back() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
     f.store_returned(at(0), at(0));
-    f.set_all(Vec::new(), 2, Some(1), at(10));
+    f.apply_full_list(Vec::new(), 2, Some(1), at(10));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(20)), "t1");
-    let after = at(0) + fleet::LAPSE_GRACE;
+    let after = at(0) + fleet::EXPIRY_GRACE;
     f.expire(after);
     assert_eq!(pick(&mut f, &wants("m0"), &[], after), "no target");
 }
@@ -145,14 +145,17 @@
 #[test]
 fn entry_that_is_removed_in_calm_is_gone_at_once() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
-    f.apply(TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 2 }), at(10));
+    f.apply_change(
+        TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 2 }),
+        at(10),
+    );
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(10)), "no target");
 }
 
 #[test]
 fn target_that_said_it_lacks_the_model_is_left_alone_for_a_while() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
-    f.missing(&TargetName::from("t1"), &wants("m0").get(), at(0));
+    f.record_missing_model(&TargetName::from("t1"), &wants("m0").get(), at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(10)), "not loaded");
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(2_000)), "t1");
 }
@@ -160,7 +163,7 @@
 #[test]
 fn failing_and_unreachable_targets_are_avoided_as_long_as_there_is_another() {
     let mut f = fleet(vec![target("t1", &["m0"], &[]), target("t2", &["m0"], &[])]);
-    f.unreachable(&TargetName::from("t1"), at(0));
+    f.record_unreachable(&TargetName::from("t1"), at(0));
     for _ in 0..4 {
         assert_eq!(pick(&mut f, &wants("m0"), &[], at(10)), "t2");
     }
@@ -170,7 +173,7 @@
 #[test]
 fn dead_target_is_not_asked_again_by_the_request_that_it_failed() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
-    f.unreachable(&TargetName::from("t1"), at(0));
+    f.record_unreachable(&TargetName::from("t1"), at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &["t1"], at(10)), "not loaded");
     assert_eq!(pick(&mut f, &wants("m0"), &["t1"], at(700)), "t1");
 }
@@ -185,12 +188,12 @@
     }
     assert_eq!(taken, 16, "its eight slots and as many waiting");
     assert_eq!(pick(&mut f, &want, &[], at(0)), "full");
-    f.leave(&TargetName::from("t1"), Some(&want.model));
+    f.end_request(&TargetName::from("t1"), Some(&want.model));
     assert_eq!(pick(&mut f, &want, &[], at(0)), "t1");
 }
 
-fn news(beat: u32) -> UpdateId {
-    UpdateId { fence: 1, beat }
+fn news(seq: u32) -> UpdateId {
+    UpdateId { fence: 1, seq }
 }
 
 fn load(target: &str, requests: u16) -> TargetLoad {
@@ -200,7 +203,7 @@
 #[test]
 fn requests_of_other_daemons_count() {
     let mut f = fleet(vec![target("t1", &["m0"], &[]), target("t2", &["m0"], &[])]);
-    f.note_loads(news(1), &[load("t1", 6)], &[], at(0));
+    f.apply_loads(news(1), &[load("t1", 6)], &[], at(0));
     for _ in 0..5 {
         assert_eq!(pick(&mut f, &wants("m0"), &[], at(0)), "t2");
     }
@@ -209,19 +212,19 @@
 #[test]
 fn loads_in_parts_make_a_whole_and_older_parts_are_dropped() {
     let mut f = fleet(vec![target("t1", &["m0"], &[]), target("t2", &["m0"], &[])]);
-    f.note_loads(news(2), &[load("t1", 6)], &[], at(0));
-    f.note_loads(news(2), &[load("t2", 9)], &[], at(0));
-    f.note_loads(news(1), &[load("t1", 16)], &[], at(0));
+    f.apply_loads(news(2), &[load("t1", 6)], &[], at(0));
+    f.apply_loads(news(2), &[load("t2", 9)], &[], at(0));
+    f.apply_loads(news(1), &[load("t1", 16)], &[], at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(0)), "t1");
-    f.note_loads(news(3), &[load("t1", 4)], &[], at(0));
+    f.apply_loads(news(3), &[load("t1", 4)], &[], at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(0)), "t2", "nothing is left at it");
 }
 
 #[test]
 fn changes_of_loads_leave_the_others_as_they_were_told() {
     let mut f = fleet(vec![target("t1", &["m0"], &[]), target("t2", &["m0"], &[])]);
-    f.note_loads(news(1), &[load("t1", 6), load("t2", 2)], &[], at(0));
-    f.note_changes(&[load("t2", 7)], &[], at(0));
+    f.apply_loads(news(1), &[load("t1", 6), load("t2", 2)], &[], at(0));
+    f.apply_load_changes(&[load("t2", 7)], &[], at(0));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(0)), "t1");
 }
 
@@ -231,40 +234,40 @@
     let coming = |n: u32| PendingLoad {
         service: wants("m0").service.clone(),
         model: ModelName::from(format!("m{n}").as_str()),
-        in_ms: 500,
+        due_in_ms: 500,
     };
     let all: Vec<PendingLoad> = (0..30).map(coming).collect();
-    f.note_loads(news(1), &[], &all[..20], at(0));
-    f.note_loads(news(1), &[], &all[20..], at(0));
+    f.apply_loads(news(1), &[], &all[..20], at(0));
+    f.apply_loads(news(1), &[], &all[20..], at(0));
     for n in 0..30 {
         let want = wants(&format!("m{n}"));
-        assert_eq!(f.expected(&want.get(), at(100)), Some(at(500)));
+        assert_eq!(f.pending_load_due(&want.get(), at(100)), Some(at(500)));
     }
-    f.note_loads(news(2), &[], &[], at(100));
-    assert_eq!(f.expected(&wants("m0").get(), at(100)), None);
+    f.apply_loads(news(2), &[], &[], at(100));
+    assert_eq!(f.pending_load_due(&wants("m0").get(), at(100)), None);
 }
 
 #[test]
 fn request_that_lacks_an_adapter_does_not_wait_for_another_copy_of_its_model() {
     let mut f = fleet(vec![target("t1", &["m0"], &[])]);
     let service = wants("m0").service.clone();
-    let coming = PendingLoad { service, model: ModelName::from("m0"), in_ms: 6000 };
-    f.note_loads(news(1), &[], &[coming], at(0));
+    let coming = PendingLoad { service, model: ModelName::from("m0"), due_in_ms: 6000 };
+    f.apply_loads(news(1), &[], &[coming], at(0));
     let adapter = AdapterName::from("a1");
     let wants = wants("m0");
     let want = TargetRequirements { adapter: Some(&adapter), ..wants.get() };
-    assert_eq!(f.expected(&want, at(0)), None);
+    assert_eq!(f.pending_load_due(&want, at(0)), None);
 }
 
 #[test]
 fn uses_are_told_while_they_are_new_or_wait() {
     let mut f = fleet(vec![]);
-    f.arrived(&wants("m0").get(), at(0));
+    f.count_arrival(&wants("m0").get(), at(0));
     f.begin_waiting(&wants("m1").get(), at(0));
-    assert_eq!(f.uses(at(100)).len(), 2);
-    assert_eq!(f.uses(at(1_500)).len(), 1);
+    assert_eq!(f.model_uses(at(100)).len(), 2);
+    assert_eq!(f.model_uses(at(1_500)).len(), 1);
     f.end_waiting(&wants("m1").get());
-    assert!(f.uses(at(1_500) + Duration::from_millis(1)).is_empty());
+    assert!(f.model_uses(at(1_500) + Duration::from_millis(1)).is_empty());
 }
 
 #[parameterized(
@@ -274,44 +277,48 @@
 fn first_reading_is_told_to_nobody_and_every_change_after_it_to_all(read: usize) {
     let name = |n: usize| target(&format!("t{n}"), &["m0"], &[]);
     let mut f = fleet(vec![]);
-    f.set_all((0..read).map(name).collect(), 5, None, at(0));
+    f.apply_full_list((0..read).map(name).collect(), 5, None, at(0));
     let now = ListRead { age: Duration::ZERO, version: 5 };
-    let news = f.log.news(0, now, at(0));
+    let news = f.log.changes_after(0, now, at(0));
     assert!(news.changes.is_empty());
     let mut follower = PlannerView::default();
-    follower.list(1, news.clone(), at(0));
-    assert!(follower.is_missing(), "whoever has not read the list must");
-    let mark = follower.before_call();
-    follower.after_call(mark, 5);
-    follower.list(1, news, at(0));
-    assert!(!follower.is_missing(), "a call of its own makes up for it");
-    f.set_all((read..2 * read).map(name).collect(), 6, Some(5), at(10));
-    let news = f.log.news(1, now, at(10));
-    let is_whole = |(_, change): &(u64, Change)| matches!(change, Change::Whole(_));
+    follower.apply_list_update(1, news.clone(), at(0));
+    assert!(follower.has_gap(), "whoever has not read the list must");
+    let mark = follower.call_mark();
+    follower.record_call(mark, 5);
+    follower.apply_list_update(1, news, at(0));
+    assert!(!follower.has_gap(), "a call of its own makes up for it");
+    f.apply_full_list((read..2 * read).map(name).collect(), 6, Some(5), at(10));
+    let news = f.log.changes_after(1, now, at(10));
+    let is_whole = |(_, change): &(u64, Change)| matches!(change, Change::FullRead(_));
     assert_eq!(news.changes.iter().filter(|c| is_whole(c)).count(), 1, "it was read whole");
     assert_eq!(news.changes.len() - 1, 2 * read, "as many came as went");
-    assert_eq!(follower.list(1, news, at(10)).len() - 1, 2 * read);
+    assert_eq!(follower.apply_list_update(1, news, at(10)).len() - 1, 2 * read);
 }
 
 fn run_of(born: u64, version: u64, models: &[&str]) -> TargetChange {
     let t = target("t1", models, &["m0"]);
-    TargetChange::Put(Box::new(Target { born: Some(StartTime(born)), version, ..t }))
+    TargetChange::Put(Box::new(Target { started_at: Some(StartTime(born)), version, ..t }))
 }
 
 #[test]
 fn target_that_starts_again_under_its_name_holds_nothing_of_before() {
     let mut f = fleet(vec![]);
-    f.apply(run_of(100, 5, &["m0"]), at(0));
-    let noted = TargetOverride { born: Some(StartTime(100)), ..note("t1", 3, &["m1"]) };
-    f.note(&noted, 7, at(10));
-    f.note_loads(news(1), &[load("t1", 7)], &[], at(10));
-    f.apply(run_of(200, 6, &[]), at(20));
+    f.apply_change(run_of(100, 5, &["m0"]), at(0));
+    let noted = TargetOverride { started_at: Some(StartTime(100)), ..note("t1", 3, &["m1"]) };
+    f.apply_override(&noted, 7, at(10));
+    f.apply_loads(news(1), &[load("t1", 7)], &[], at(10));
+    f.apply_change(run_of(200, 6, &[]), at(20));
     assert_eq!(pick(&mut f, &wants("m1"), &[], at(30)), "not loaded");
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(30)), "not loaded");
     // The planner's note of the former run, told again, is not about this one.
-    f.note(&noted, 7, at(40));
+    f.apply_override(&noted, 7, at(40));
     assert_eq!(pick(&mut f, &wants("m1"), &[], at(50)), "not loaded");
-    f.note(&TargetOverride { born: Some(StartTime(200)), ..note("t1", 4, &["m2"]) }, 7, at(60));
+    f.apply_override(
+        &TargetOverride { started_at: Some(StartTime(200)), ..note("t1", 4, &["m2"]) },
+        7,
+        at(60),
+    );
     assert_eq!(pick(&mut f, &wants("m2"), &[], at(70)), "t1");
 }
 
@@ -321,10 +328,10 @@
 )]
 fn entry_that_is_not_of_the_run_known_brings_nothing_back(late: TargetChange, after: &str) {
     let mut f = fleet(vec![]);
-    f.apply(run_of(200, 5, &["m0"]), at(0));
-    f.apply(late, at(10));
+    f.apply_change(run_of(200, 5, &["m0"]), at(0));
+    f.apply_change(late, at(10));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(20)), after);
-    f.apply(run_of(200, 10, &["m0"]), at(30));
+    f.apply_change(run_of(200, 10, &["m0"]), at(30));
     assert_eq!(pick(&mut f, &wants("m0"), &[], at(40)), "t1", "its next heartbeat counts");
 }
 
@@ -333,12 +340,12 @@
     let mut planner = fleet(vec![]);
     let mut follower = fleet(vec![]);
     for (born, version) in [(100, 5), (200, 6)] {
-        planner.apply(run_of(born, version, &["m0"]), at(version));
-        let news = planner.log.news(version - 5, ListRead::default(), at(version));
+        planner.apply_change(run_of(born, version, &["m0"]), at(version));
+        let news = planner.log.changes_after(version - 5, ListRead::default(), at(version));
         for (_, change) in news.changes {
-            follower.apply_news(change, 7, at(version));
+            follower.apply_update(change, 7, at(version));
         }
     }
-    let born = follower.target(&TargetName::from("t1")).and_then(|t| t.born);
+    let born = follower.target(&TargetName::from("t1")).and_then(|t| t.started_at);
     assert_eq!(born, Some(StartTime(200)));
 }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -90,7 +90,7 @@
             rests: BTreeMap::new(),
             all_rest: 0,
         };
-        let options = LeaseOptions { turn: settings.bounds.order_turn.duration() };
+        let options = LeaseOptions { handover_interval: settings.bounds.order_turn.duration() };
         let keeper = Arc::new(LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
@@ -106,7 +106,7 @@
             targets: Arc::new(Runners),
             recorder: Arc::clone(&recorder) as _,
             daemon,
-            due: 0.into(),
+            overdue_loads: 0.into(),
             ledger: Mutex::default(),
         });
         let socket = Arc::new(socket);
@@ -177,8 +177,8 @@
         self.lifecycle.drain();
         event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.busy())]);
         self.keeper.release();
-        let plan = ShutdownPlan::of(self.grace);
-        while began.elapsed() < plan.cut_after {
+        let plan = ShutdownPlan::for_grace_period(self.grace);
+        while began.elapsed() < plan.abort_after {
             let refuses = began.elapsed() >= plan.refuse_after;
             if refuses {
                 self.lifecycle.end();
@@ -195,7 +195,7 @@
 }
 
 fn spans(settings: &FleetSettings) -> FreshnessLimits {
-    FreshnessLimits::of(&Bounds {
+    FreshnessLimits::from_bounds(&Bounds {
         leave_within: settings.bounds.leave_within.duration(),
         config_within: settings.bounds.config_within.duration(),
         heartbeat: settings.bounds.heartbeat.duration(),
@@ -273,11 +273,11 @@
         }
     });
     let tx = Arc::clone(conductor);
-    spawn("conduct", move || tx.conduct());
+    spawn("conduct", move || tx.run());
     let tx = Arc::clone(conductor);
-    spawn("crashes", move || tx.tell_crashes_on());
+    spawn("crashes", move || tx.run_crash_reports());
     let tx = Arc::clone(conductor);
-    spawn("permits", move || tx.grant_permits_on());
+    spawn("permits", move || tx.run_permit_grants());
 }
 
 /// Starts a thread that lives as long as the process.
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -30,7 +30,7 @@
         loop {
             let seen = state.poison_changed.count();
             if keeper.step(conductor.is_planner()) {
-                state.clock.sleep(keeper::RETRY);
+                state.clock.sleep(keeper::RETRY_INTERVAL);
                 continue;
             }
             state.poison_changed.wait(seen, POISON_LOOK);
@@ -49,17 +49,17 @@
     let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
     spawn("config", move || {
         while !poison.read() {
-            state.clock.sleep(keeper::RETRY);
+            state.clock.sleep(keeper::RETRY_INTERVAL);
         }
         let mut was_planner = false;
         loop {
             let is_planner = conductor.is_planner();
             if is_planner && !was_planner {
-                follower.hurry();
+                follower.skip_next_wait();
             }
             was_planner = is_planner;
             if !is_planner && state.keys_fresh_for().is_zero() {
-                follower.hurry();
+                follower.skip_next_wait();
             }
             let began = state.now();
             let pause = follower.step();
@@ -74,26 +74,26 @@
 fn pause_calls(state: &State, began: Time, pause: Duration) {
     let until = state.now() + pause;
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let left = until.since(state.now());
-        let has_returned = state.contacts().returned.is_some_and(|at| at > began);
+        let has_returned = state.store_contacts().returned_at.is_some_and(|at| at > began);
         if left.is_zero() || has_returned {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
 
 /// Waits as long as the planner's news of the configuration are fresh.
 fn await_config_call(state: &State, conductor: &PeerNode) {
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let mine = state.catalog().map_or(0, |c| c.version);
         let left = state.config_fresh_for(mine);
         if conductor.is_planner() || mine == 0 || left.is_zero() {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
 
@@ -109,7 +109,7 @@
         loop {
             let is_planner = conductor.is_planner();
             if is_planner && !was_planner {
-                follower.read_anew();
+                follower.request_full_read();
             }
             was_planner = is_planner;
             let began = state.now();
@@ -120,7 +120,7 @@
                 pause_planner(&state, &conductor);
             } else {
                 // Without fresh news the list is read at the pace of a planner.
-                await_list_call(&state, &conductor, state.list_pace());
+                await_list_call(&state, &conductor, state.list_poll_interval());
             }
         }
     });
@@ -131,7 +131,7 @@
     let began = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
-        let pace = state.spans.list_pace;
+        let pace = state.spans.list_poll_interval;
         let span = if conductor.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
         let left = span.saturating_sub(began.elapsed());
         if left.is_zero() {
@@ -145,12 +145,12 @@
 fn await_list_call(state: &State, conductor: &PeerNode, least: Duration) {
     let until = state.now() + least;
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let now = state.now();
         let left = state.list_fresh_for(now).max(until.since(now));
         if conductor.is_planner() || left.is_zero() {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -34,7 +34,7 @@
         let Some(catalog) = self.state.catalog() else { return false };
         let is_ready = !self.lifecycle.is_draining() && self.targets_known.load(Ordering::SeqCst);
         // Who can't tell which keys hold would refuse nearly all callers.
-        let is_ready = is_ready && self.state.knows_keys();
+        let is_ready = is_ready && self.state.keys_are_fresh();
         if is_ready && !self.was_ready.swap(true, Ordering::SeqCst) {
             let targets = self.state.fleet().targets().count();
             event::FLEET_READY.emit(&[("config", &catalog.version), ("targets", &targets)]);
@@ -64,14 +64,14 @@
         let daemon = ServiceName::from("daemon");
         let now = self.state.now();
         let age = |at: Option<Time>| at.map_or(-1.0, |at| now.since(at).as_secs_f64());
-        let contacts = *self.state.contacts();
-        let told = self.state.followed().config_version();
+        let contacts = *self.state.store_contacts();
+        let told = self.state.planner_view().config_version();
         let (daemons, targets, kept, list_version) = {
             let fleet = self.state.fleet();
-            let kept = fleet.kept().count();
-            (fleet.daemons(), fleet.targets().count(), kept, fleet.list_version())
+            let kept = fleet.retained().count();
+            (fleet.daemon_count(), fleet.targets().count(), kept, fleet.list_version())
         };
-        let (catalog, view) = self.state.in_force();
+        let (catalog, view) = self.state.active_catalog_and_keys();
         let keys_as_of = catalog.filter(|c| c.teams.is_some()).and_then(|c| view.as_of(c.version));
         let (convicted, suspected) = {
             let poison = self.state.poison();
