--- a/crates/tansyknot-fleet/src/access.rs
+++ b/crates/tansyknot-fleet/src/access.rs
@@ -1,7 +1,7 @@
 //! Access control for requests: identifies the team of a request, checks its key, and charges the
 //! team's quota, before the request waits for anything. Has no threads or sockets.
 //!
-//! `serve` calls this module. `conduct` exchanges its messages with the planner.
+//! `serve` calls this module. `peering` exchanges its messages with the planner.
 
 pub mod account;
 pub mod lending;
@@ -48,12 +48,12 @@
 /// Fails if no team has the key, or if this daemon's view of the keys is too old to decide.
 pub fn identify(
     teams: &Teams,
-    claim: RequestCredentials<'_>,
+    credentials: RequestCredentials<'_>,
     view: &KeyView,
     options: &ViewOptions,
 ) -> Result<Arc<Team>, Denied> {
-    let age = view.age(claim.version, claim.arrived);
-    match claim.key.and_then(|key| teams.holder(key)) {
+    let age = view.age(credentials.version, credentials.arrived);
+    match credentials.key.and_then(|key| teams.holder(key)) {
         Some(team) if age <= options.accept_known_for => Ok(Arc::clone(team)),
         None if age <= options.reject_unknown_for => Err(Denied::UnknownKey),
         Some(_) | None => Err(Denied::StaleKeys),
--- a/crates/tansyknot-fleet/src/access/lending.rs
+++ b/crates/tansyknot-fleet/src/access/lending.rs
@@ -95,12 +95,12 @@
     /// Decides whether a request gets its units.
     pub fn take(
         &mut self,
-        asked: QuotaWithdrawal<'_>,
+        withdrawal: QuotaWithdrawal<'_>,
         teams: &Teams,
         options: &AccessOptions,
         now: Time,
     ) -> Verdict {
-        let QuotaWithdrawal { from, number, team, units } = asked;
+        let QuotaWithdrawal { from, number, team, units } = withdrawal;
         if let Some((verdict, _)) = self.verdicts.get(&(from, number)) {
             return *verdict;
         }
--- a/crates/tansyknot-fleet/src/backpressure.rs
+++ b/crates/tansyknot-fleet/src/backpressure.rs
@@ -1,7 +1,7 @@
 //! Backpressure signals of targets: rate limits, connection draining and retry delays, as their
 //! responses carry them.
 //!
-//! Has no threads or sockets. `serve` records and obeys the signals, and `conduct` shares them
+//! Has no threads or sockets. `serve` records and obeys the signals, and `peering` shares them
 //! between daemons.
 
 pub mod message;
--- a/crates/tansyknot-fleet/src/dissemination/relays.rs
+++ b/crates/tansyknot-fleet/src/dissemination/relays.rs
@@ -40,46 +40,47 @@
 
 impl Group {
     /// Creates a group without followers.
-    fn alone(seat: &RelayCandidate) -> Self {
-        Self { relay: seat.address, link_mbps: seat.link_mbps, followers: Vec::new() }
+    fn alone(candidate: &RelayCandidate) -> Self {
+        Self { relay: candidate.address, link_mbps: candidate.link_mbps, followers: Vec::new() }
     }
 }
 
-/// Divides `seats` into groups, so that no daemon sends more than [`FOLLOWERS_MOST`] datagrams for
-/// one update, as long as there are enough reliable relays. An update crosses zones once per group.
+/// Divides `candidates` into groups, so that no daemon sends more than [`MAX_FOLLOWERS`] datagrams
+/// for one update, as long as there are enough reliable relays. An update crosses zones once per
+/// group.
 ///
 /// The relays of a zone are its daemons with the best links. Among equal links a hash decides, so
 /// that relays stay the same under another planner.
-pub fn groups(seats: &[RelayCandidate]) -> Vec<Group> {
-    if seats.len() <= MAX_FOLLOWERS {
-        return seats.iter().map(Group::alone).collect();
+pub fn groups(candidates: &[RelayCandidate]) -> Vec<Group> {
+    if candidates.len() <= MAX_FOLLOWERS {
+        return candidates.iter().map(Group::alone).collect();
     }
     let mut zones: BTreeMap<&ZoneName, Vec<&RelayCandidate>> = BTreeMap::new();
-    for seat in seats {
-        zones.entry(&seat.zone).or_default().push(seat);
+    for candidate in candidates {
+        zones.entry(&candidate.zone).or_default().push(candidate);
     }
     zones.into_values().flat_map(groups_of_zone).collect()
 }
 
-fn groups_of_zone(mut seats: Vec<&RelayCandidate>) -> Vec<Group> {
-    seats.sort_by_key(|seat| {
-        let link = seat.link_mbps.unwrap_or(u32::MAX);
-        (!seat.is_reliable, std::cmp::Reverse(link), rank(seat.address))
+fn groups_of_zone(mut candidates: Vec<&RelayCandidate>) -> Vec<Group> {
+    candidates.sort_by_key(|candidate| {
+        let link = candidate.link_mbps.unwrap_or(u32::MAX);
+        (!candidate.is_reliable, std::cmp::Reverse(link), rank(candidate.address))
     });
-    let reliable = seats.iter().filter(|seat| seat.is_reliable).count();
-    let wanted = seats.len().div_ceil(1 + MAX_FOLLOWERS);
+    let reliable = candidates.iter().filter(|candidate| candidate.is_reliable).count();
+    let wanted = candidates.len().div_ceil(1 + MAX_FOLLOWERS);
     if reliable == 0 {
-        return seats.into_iter().map(Group::alone).collect();
+        return candidates.into_iter().map(Group::alone).collect();
     }
-    let followers = seats.split_off(wanted.min(reliable));
-    let mut groups: Vec<Group> = seats.into_iter().map(Group::alone).collect();
+    let followers = candidates.split_off(wanted.min(reliable));
+    let mut groups: Vec<Group> = candidates.into_iter().map(Group::alone).collect();
     let relays = groups.len();
     // If there are too few reliable relays, the planner sends updates to the rest itself.
     let relayed = followers.len().min(relays * MAX_FOLLOWERS);
-    for (n, seat) in followers.iter().take(relayed).enumerate() {
-        groups[n % relays].followers.push(seat.address);
+    for (n, candidate) in followers.iter().take(relayed).enumerate() {
+        groups[n % relays].followers.push(candidate.address);
     }
-    groups.extend(followers[relayed..].iter().map(|seat| Group::alone(seat)));
+    groups.extend(followers[relayed..].iter().map(|candidate| Group::alone(candidate)));
     groups
 }
 
--- a/crates/tansyknot-fleet/src/freshness.rs
+++ b/crates/tansyknot-fleet/src/freshness.rs
@@ -68,7 +68,7 @@
 }
 
 impl FreshnessLimits {
-    /// Derives the spans from the platform's bounds.
+    /// Derives the limits from the platform's bounds.
     pub fn from_bounds(bounds: &Bounds) -> Self {
         Self {
             max_list_age: bounds.leave_within.mul_f64(LIST_FRESH_SHARE),
--- a/crates/tansyknot-fleet/src/lease.rs
+++ b/crates/tansyknot-fleet/src/lease.rs
@@ -4,10 +4,11 @@
 //! The row is only changed by compare-and-swap. A holder relies on a renewal for [`LEASE_DURATION`]
 //! from the moment it was sent, by its own monotonic clock, and sends orders only to targets that
 //! the row names. Another daemon takes the row over after it has stayed unchanged for
-//! [`TAKE_AFTER`], which is longer. The new holder may send orders immediately to targets that the
-//! row did not name: no holder has sent them any for the interval that the platform requires
-//! between the orders of two holders. Targets that the row named have a cooldown of that interval,
-//! counted from the latest moment at which the previous holder could have sent them an order.
+//! [`TAKEOVER_TIMEOUT`], which is longer. The new holder may send orders immediately to targets
+//! that the row did not name: no holder has sent them any for the interval that the platform
+//! requires between the orders of two holders. Targets that the row named have a cooldown of that
+//! interval, counted from the latest moment at which the previous holder could have sent them an
+//! order.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
--- a/crates/tansyknot-fleet/src/peering.rs
+++ b/crates/tansyknot-fleet/src/peering.rs
@@ -74,7 +74,7 @@
 }
 
 impl PeerNode {
-    /// Creates the conductor of the daemon that `me` describes.
+    /// Creates the node of the daemon that `me` describes.
     pub fn new(
         state: Arc<State>,
         orders: Arc<TaskRunner>,
@@ -170,7 +170,7 @@
         if self.state.fleet().merge_signals(&demand.signals, now) {
             self.state.notify_view_changed();
         }
-        let needs_reply = self.published().audience.record_demand(
+        let needs_reply = self.published().recipients.record_demand(
             entry,
             demand.received,
             self.lease.fence(),
@@ -266,21 +266,21 @@
     /// ends.
     pub fn run(self: &Arc<Self>) {
         let mut seen = 0;
-        let mut pace = HeartbeatSchedule::new(self.state.now());
+        let mut schedule = HeartbeatSchedule::new(self.state.now());
         loop {
             let now = self.state.now();
-            let max_wait = pace.time_left(now).min(self.left(now));
+            let max_wait = schedule.time_left(now).min(self.left(now));
             let count = self.state.demand_changed.wait(seen, max_wait);
             let has_changed = count != seen;
             seen = count;
             let now = self.state.now();
-            let delay = pace.overdue_by(now);
+            let delay = schedule.overdue_by(now);
             let is_due = has_changed || self.left(now).is_zero();
-            if let Some(occasion) = pace.step_reason(is_due, now) {
-                if occasion == StepReason::Heartbeat {
+            if let Some(reason) = schedule.step_reason(is_due, now) {
+                if reason == StepReason::Heartbeat {
                     self.stats().heartbeat_delay.add(delay);
                 }
-                self.step(occasion);
+                self.step(reason);
                 self.state.clock.sleep(heartbeat::pause_after(self.state.now().since(now)));
             }
         }
@@ -292,14 +292,14 @@
     }
 
     /// Runs one step: sends demand as a follower, or plans and publishes as the planner.
-    pub fn step(self: &Arc<Self>, occasion: StepReason) {
+    pub fn step(self: &Arc<Self>, reason: StepReason) {
         let now = self.state.now();
         let demand = self.current_demand(now);
-        if occasion == StepReason::Heartbeat {
+        if reason == StepReason::Heartbeat {
             self.send_usage_report(now);
         }
         if self.lease.is_valid(now) {
-            self.run_planner_step(demand, occasion, now);
+            self.run_planner_step(demand, reason, now);
         } else {
             self.published().stop();
             self.send_demand(demand);
@@ -342,7 +342,7 @@
         }
     }
 
-    fn run_planner_step(self: &Arc<Self>, demand: Demand, occasion: StepReason, now: Time) {
+    fn run_planner_step(self: &Arc<Self>, demand: Demand, reason: StepReason, now: Time) {
         let is_new = !std::mem::replace(&mut self.published().was_planner, true);
         if is_new {
             self.state.fleet().mark_signals_synced();
@@ -352,11 +352,11 @@
             self.state.poison_changed.notify();
         }
         // A new planner announces itself to all daemons at once.
-        let occasion = if is_new { StepReason::Heartbeat } else { occasion };
+        let reason = if is_new { StepReason::Heartbeat } else { reason };
         self.planner().record_demand(demand, now);
         self.plan(now);
         let planned_at = self.state.now();
-        self.publish(occasion, planned_at);
+        self.publish(reason, planned_at);
         let published_at = self.state.now();
         let daemons = self.planner().daemon_count();
         let mut stats = self.stats();
--- a/crates/tansyknot-fleet/src/peering/crashes.rs
+++ b/crates/tansyknot-fleet/src/peering/crashes.rs
@@ -70,8 +70,8 @@
     pub fn check_suspect_targets(&self) {
         let suspects = self.state.poison().suspect_targets(self.state.now());
         for SuspectTarget { run, place, is_check_due } in suspects {
-            let standing = self.state.fleet().list_status(&place.name, place.address);
-            let presence = match standing {
+            let status = self.state.fleet().list_status(&place.name, place.address);
+            let presence = match status {
                 ListStatus::Draining => {
                     self.state.poison().record_draining(run);
                     continue;
--- a/crates/tansyknot-fleet/src/peering/publishing.rs
+++ b/crates/tansyknot-fleet/src/peering/publishing.rs
@@ -63,7 +63,7 @@
     pending_loads: HashMap<(ServiceName, ModelName), Time>,
     /// The number of requests at each target, as published last.
     loads: HashMap<TargetName, u16>,
-    pub(super) audience: Recipients,
+    pub(super) recipients: Recipients,
     pub(super) was_planner: bool,
     /// The fencing token of the planner that this daemon follows, and since when.
     followed_planner: (u64, Time),
@@ -167,17 +167,17 @@
         let mut published = self.published();
         published.override_revisions.clear();
         published.versions = (since, 0);
-        published.audience.begin(others, now);
+        published.recipients.begin(others, now);
     }
 
     /// Publishes changes to all daemons, with all loads in a heartbeat, and sends repairs to
     /// daemons that lack earlier changes.
-    pub(super) fn publish(&self, occasion: StepReason, now: Time) {
+    pub(super) fn publish(&self, reason: StepReason, now: Time) {
         self.log_overrides(now);
-        if self.is_due(occasion, now) {
-            self.publish_to_all(occasion, now);
+        if self.is_due(reason, now) {
+            self.publish_to_all(reason, now);
         }
-        let repairs = self.published().audience.take_repairs(self.lease.fence(), now);
+        let repairs = self.published().recipients.take_repairs(self.lease.fence(), now);
         for repair in repairs {
             self.send_repair(repair, now);
         }
@@ -202,10 +202,10 @@
 
     /// Returns whether an update is due. Changes wait while links have used up their share; a
     /// heartbeat does not.
-    fn is_due(&self, occasion: StepReason, now: Time) -> bool {
+    fn is_due(&self, reason: StepReason, now: Time) -> bool {
         let latest = self.latest_versions();
         let mut published = self.published();
-        if occasion == StepReason::Heartbeat {
+        if reason == StepReason::Heartbeat {
             return true;
         }
         published.is_pending = published.versions != latest;
@@ -219,18 +219,18 @@
     }
 
     /// Publishes one update to all daemons.
-    fn publish_to_all(&self, occasion: StepReason, now: Time) {
+    fn publish_to_all(&self, reason: StepReason, now: Time) {
         let latest = self.latest_versions();
         let (after, seq, peers, count) = {
             let mut published = self.published();
             let (after, _) = std::mem::replace(&mut published.versions, latest);
             published.is_pending = false;
-            let peers = if occasion == StepReason::Heartbeat {
+            let peers = if reason == StepReason::Heartbeat {
                 self.begin_heartbeat(&mut published, now)
             } else {
                 vec![]
             };
-            (after, published.next_seq(), peers, published.audience.len())
+            (after, published.next_seq(), peers, published.recipients.len())
         };
         let (daemons, loads, pending_loads) = {
             let planner = self.planner();
@@ -242,7 +242,7 @@
             fleet.raise_daemon_count(daemons);
             fleet.apply_loads(update_id, &loads, &pending_loads, now);
         }
-        let extent = extent(occasion, loads.len() * count);
+        let extent = extent(reason, loads.len() * count);
         let (loads, pending_loads) =
             self.published().select_entries(extent, loads, pending_loads, now);
         let list = self.changes_between(after, u64::MAX, now);
@@ -257,7 +257,7 @@
         };
         update.trim();
         let parts = datagram::datagrams(Message::Update(update));
-        let groups = self.published().audience.groups().to_vec();
+        let groups = self.published().recipients.groups().to_vec();
         let relay_busy = groups.iter().map(|group| self.send_to_group(&parts, group, seq)).max();
         let bytes: usize = parts.iter().map(Vec::len).sum();
         let own_busy = heartbeat::link_time(bytes * groups.len(), self.me.link_mbps);
@@ -267,8 +267,8 @@
     /// Begins a heartbeat; returns the daemons that it announces.
     fn begin_heartbeat(&self, published: &mut Published, now: Time) -> Vec<PeerEntry> {
         published.heartbeats += 1;
-        published.audience.begin_heartbeat(now);
-        let mut entries = published.audience.entries();
+        published.recipients.begin_heartbeat(now);
+        let mut entries = published.recipients.entries();
         let (address, zone) = (self.me.address, self.me.zone.clone());
         entries.push(PeerEntry { address, zone, link_mbps: self.me.link_mbps });
         let mut announced = self.state.peers();
@@ -367,8 +367,8 @@
 
 /// Returns the extent of the loads in an update, where all loads make `entries` entries, summed
 /// over all daemons.
-fn extent(occasion: StepReason, entries: usize) -> Extent {
-    match occasion {
+fn extent(reason: StepReason, entries: usize) -> Extent {
+    match reason {
         StepReason::Change if entries > MAX_FULL_LOAD_ENTRIES => Extent::Changes,
         _ => Extent::Full,
     }
--- a/crates/tansyknot-fleet/src/peering/quota.rs
+++ b/crates/tansyknot-fleet/src/peering/quota.rs
@@ -121,8 +121,8 @@
             return;
         }
         let QuotaRequest { number, ref team, units } = *request;
-        let asked = QuotaWithdrawal { from, number, team, units: f64::from(units) };
-        if let Some(verdict) = self.decide_quota(asked, now) {
+        let withdrawal = QuotaWithdrawal { from, number, team, units: f64::from(units) };
+        if let Some(verdict) = self.decide_quota(withdrawal, now) {
             let quota_reply = QuotaReply { number, verdict };
             self.send_parts(Message::QuotaReply(quota_reply), &[from]);
         }
@@ -136,13 +136,16 @@
     }
 
     /// Decides a quota request as the planner; `None` if the view of the configuration is too old.
-    fn decide_quota(&self, asked: QuotaWithdrawal<'_>, now: Time) -> Option<Verdict> {
+    fn decide_quota(&self, withdrawal: QuotaWithdrawal<'_>, now: Time) -> Option<Verdict> {
         let options = &self.state.access;
-        self.with_fresh_teams(|teams, _| self.quota_accounts().take(asked, teams, options, now))
+        self.with_fresh_teams(|teams, _| {
+            self.quota_accounts().take(withdrawal, teams, options, now)
+        })
     }
 
     /// Requests units of a quota. Returns the verdict if this daemon is the planner; the reply of
-    /// another planner arrives in [`PendingQuotas`](crate::access::pending::Pending), unless it is lost.
+    /// another planner arrives in
+    /// [`PendingQuotas`](crate::access::pending::PendingQuotas), unless it is lost.
     pub fn request_quota(&self, number: u32, team: &TeamName, units: f64) -> Option<Verdict> {
         let now = self.state.now();
         if self.lease.is_valid(now) {
@@ -226,14 +229,14 @@
             (pending.begin(team, units, now), pending.unanswered_for(now))
         };
         let is_planner_unresponsive = !self.lease.is_valid(now) && silent >= UNRESPONSIVE_AFTER;
-        let ruling = if is_planner_unresponsive && self.take_lent(team, units, now) {
+        let decision = if is_planner_unresponsive && self.take_lent(team, units, now) {
             QuotaDecision::Granted
         } else {
             let outage_left = MAX_PLANNER_OUTAGE.saturating_sub(silent);
             self.request_until(number, team, units, now + timeout.min(outage_left))
         };
         self.state.pending().end(number);
-        ruling
+        decision
     }
 }
 
--- a/crates/tansyknot-fleet/src/poison.rs
+++ b/crates/tansyknot-fleet/src/poison.rs
@@ -5,7 +5,7 @@
 //! runs convict it, and it is no longer sent to targets, except for one trial by one daemon. The
 //! evidence that daemons hold only grows, so that it can be merged in any order, any number of
 //! times, from any of them. This module has no threads or sockets: `serve` reports the outcomes of
-//! sends, `conduct` sends evidence to other daemons, and `poison::keep` stores it.
+//! sends, `peering` sends evidence to other daemons, and `poison::keeper` stores it.
 
 mod account;
 mod crash_check;
@@ -102,7 +102,7 @@
     }
 
     /// Records that a target cut off a request that was sent to it at `opened`; returns whether the
-    /// target is to be checked, which [`Poison::looked`] ends.
+    /// target is to be checked, which [`Poison::record_check`] ends.
     pub fn cut_off(&mut self, key: RequestKey, run: RunKey, opened: Time, now: Time) -> CheckState {
         if self.ended.contains_key(&run) {
             self.record_crash(key, run, now.since(opened), now);
--- a/crates/tansyknot-fleet/src/serve/access.rs
+++ b/crates/tansyknot-fleet/src/serve/access.rs
@@ -19,7 +19,7 @@
 /// Maximum wait for the planner, which keeps the quota accounts; a lost planner is replaced by
 /// then.
 const MAX_QUOTA_WAIT: Duration = Duration::from_millis(2300);
-/// Maximum share of a request's time limit spent waiting for the quota ruling.
+/// Maximum share of a request's time limit spent waiting for the quota decision.
 const MAX_QUOTA_WAIT_SHARE: f64 = 0.3;
 
 /// The identity under which a request was sent.
@@ -81,9 +81,9 @@
         if route.is_public {
             return Ok(Identity::Public);
         }
-        let claim =
+        let credentials =
             RequestCredentials { key: self.dialect.key(head), arrived, version: catalog.version };
-        let team = access::identify(teams, claim, view, &self.state.access.view);
+        let team = access::identify(teams, credentials, view, &self.state.access.view);
         match team {
             Ok(team) => Ok(Identity::Team(team)),
             Err(Denied::UnknownKey) if !self.is_config_outdated(catalog) => Err(Reason::UnknownKey),
@@ -108,9 +108,9 @@
         let units = quota.cost(params.tokens);
         let max_wait = time_limit.mul_f64(MAX_QUOTA_WAIT_SHARE).min(MAX_QUOTA_WAIT);
         let taken_at = self.state.now();
-        let ruling = self.quotas.take(&team.name, units, max_wait);
+        let decision = self.quotas.take(&team.name, units, max_wait);
         let label = ServiceName::from(team.name.as_str());
-        match ruling {
+        match decision {
             QuotaDecision::Granted => {
                 self.recorder.count(metric::QUOTA_GRANTED.name, &label, 1);
                 Ok(Some(Cost { units, taken_at }))
--- a/crates/tansyknot-fleet/src/serve/attempt.rs
+++ b/crates/tansyknot-fleet/src/serve/attempt.rs
@@ -131,10 +131,10 @@
                 return SendOutcome::MayHaveRun(f);
             }
         };
-        let verdict =
+        let class =
             self.dialect.classify(&request.params.id, &target.name, head.status, &head.headers);
-        self.record_signals(request, target, &head, verdict, began);
-        match verdict {
+        self.record_signals(request, target, &head, class, began);
+        match class {
             ResponseClass::Ran => {}
             ResponseClass::OtherRequest => {
                 request.note(format_args!("{} foreign answer", target.name));
--- a/crates/tansyknot-fleet/src/serve/signal.rs
+++ b/crates/tansyknot-fleet/src/serve/signal.rs
@@ -22,14 +22,14 @@
         request: &ActiveRequest<'_>,
         target: &Target,
         head: &ResponseHead,
-        verdict: ResponseClass,
+        class: ResponseClass,
         sent: Time,
     ) {
         let signals =
             self.dialect.signals(&request.params.id, &target.name, head.status, &head.headers);
         let Some(signals) = signals else { return };
         self.record_malformed(&target.name, &signals);
-        let outcome = match verdict {
+        let outcome = match class {
             ResponseClass::Ran => Outcome::Ran,
             ResponseClass::NotRun
             | ResponseClass::Misdirected { .. }
--- a/crates/tansyknot-fleet/tests/dissemination.rs
+++ b/crates/tansyknot-fleet/tests/dissemination.rs
@@ -140,18 +140,18 @@
     network.change();
     network.run(network.planner().expect("there is one").state.spans.list_poll_interval);
     let planner = network.planner().expect("there is one");
-    let (conductor, state) = (Arc::clone(&planner.conductor), Arc::clone(&planner.state));
+    let (peer_node, state) = (Arc::clone(&planner.peer_node), Arc::clone(&planner.state));
     planner.cut(true);
     // Its links have just had their share, so that what has changed since waits.
-    conductor.step(StepReason::Heartbeat);
+    peer_node.step(StepReason::Heartbeat);
     let target = support::target("t0", &["m9"], &[]);
     let change = TargetChange::Put(Box::new(Target { version: u64::MAX, ..target }));
     state.fleet().apply_change(change, state.now());
-    conductor.step(StepReason::Change);
-    assert!(conductor.left(state.now()) < SECOND, "it waits to be told");
+    peer_node.step(StepReason::Change);
+    assert!(peer_node.left(state.now()) < SECOND, "it waits to be told");
     network.clock.advance(SECOND * 2);
-    conductor.step(StepReason::Heartbeat);
-    assert_eq!(conductor.left(state.now()), Duration::MAX);
+    peer_node.step(StepReason::Heartbeat);
+    assert_eq!(peer_node.left(state.now()), Duration::MAX);
 }
 
 #[test]
--- a/crates/tansyknot-fleet/tests/support/calls.rs
+++ b/crates/tansyknot-fleet/tests/support/calls.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Calls {
     pub(crate) follower: TargetFollower,
     state: Arc<State>,
-    conductor: Arc<PeerNode>,
+    peer_node: Arc<PeerNode>,
     pending: Option<Pending>,
     /// Calls that failed in a row.
     failures: u32,
@@ -50,11 +50,11 @@
     pub(crate) fn new(
         follower: TargetFollower,
         state: Arc<State>,
-        conductor: Arc<PeerNode>,
+        peer_node: Arc<PeerNode>,
     ) -> Self {
         let call_at = state.now();
         let (pending, failures, was_planner) = (None, 0, false);
-        Self { follower, state, conductor, pending, failures, call_at, was_planner }
+        Self { follower, state, peer_node, pending, failures, call_at, was_planner }
     }
 
     /// Asks the store for the list when that is due.
@@ -66,7 +66,7 @@
         if now < self.call_at {
             return;
         }
-        let is_planner = self.conductor.is_planner();
+        let is_planner = self.peer_node.is_planner();
         let was_planner = std::mem::replace(&mut self.was_planner, is_planner);
         if is_planner && !was_planner {
             self.follower.request_full_read();
@@ -101,7 +101,7 @@
         match outcome {
             CallOutcome::HistoryLost => Duration::ZERO,
             CallOutcome::Failed => backoff::exponential(RETRY_FIRST, self.failures - 1, RETRY_MOST),
-            CallOutcome::Succeeded if self.conductor.is_planner() => {
+            CallOutcome::Succeeded if self.peer_node.is_planner() => {
                 self.state.spans.list_poll_interval
             }
             CallOutcome::Succeeded => self.state.list_poll_interval(),
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -92,7 +92,7 @@
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
     keeper: Arc<LeaseKeeper>,
-    pub(crate) conductor: Arc<PeerNode>,
+    pub(crate) peer_node: Arc<PeerNode>,
     pub(crate) calls: Calls,
     poison: PoisonKeeper,
     config: ConfigFollower,
@@ -227,12 +227,12 @@
         let socket = Arc::new(Socket { clock, traffic, address });
         let link_mbps = Some(if is_good { 200 } else { 20 });
         let me = DaemonIdentity { daemon, incarnation, address, zone, link_mbps };
-        let conductor = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, me));
+        let peer_node = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, me));
         let known = Arc::new(AtomicBool::new(false));
         let poison = PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store));
         let config = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
         let follower = TargetFollower::new(Arc::clone(&state), store, known);
-        let calls = Calls::new(follower, Arc::clone(&state), Arc::clone(&conductor));
+        let calls = Calls::new(follower, Arc::clone(&state), Arc::clone(&peer_node));
         // Beats of daemons are spread.
         let beat_at = self.clock.now() + TICK * (n % 60) as u32;
         let keep_at = self.clock.now();
@@ -241,7 +241,7 @@
             state,
             lease,
             keeper,
-            conductor,
+            peer_node,
             calls,
             poison,
             config,
@@ -310,7 +310,7 @@
                 && !is_cut
                 && !self.rng.random_bool(self.loss)
             {
-                to.conductor.handle_datagram(&datagram.bytes, datagram.from);
+                to.peer_node.handle_datagram(&datagram.bytes, datagram.from);
             }
         }
     }
@@ -371,16 +371,16 @@
         self.calls.step(now, latency, rng);
         self.takes_requests = self.takes_requests || self.poison.read();
         self.follow_config(now);
-        self.conductor.publish_evidence();
-        self.conductor.grant_permits();
+        self.peer_node.publish_evidence();
+        self.peer_node.grant_permits();
         // What is not written now is tried again with the next step.
-        self.poison.step(self.conductor.is_planner());
+        self.poison.step(self.peer_node.is_planner());
         let count = self.state.demand_changed.count();
         if now >= self.beat_at {
             self.beat_at = now + HEARTBEAT_INTERVAL;
-            self.conductor.step(StepReason::Heartbeat);
+            self.peer_node.step(StepReason::Heartbeat);
         } else if count != self.seen {
-            self.conductor.step(StepReason::Change);
+            self.peer_node.step(StepReason::Change);
         }
         self.seen = count;
     }
@@ -391,7 +391,7 @@
             return;
         }
         let mine = self.state.catalog().map_or(0, |c| c.version);
-        let is_planner = self.conductor.is_planner();
+        let is_planner = self.peer_node.is_planner();
         // The planner's call waits for changes, and ends with one.
         let is_woken = is_planner && !self.is_cut() && self.table.configured() > mine;
         if now < self.config_at && !is_woken {
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -164,7 +164,7 @@
         let progress = node.state.permits().progress(number, now);
         if progress == Progress::SendDue {
             let (priority, left) = (req.priority, req.until.since(now));
-            node.conductor.request(PermitRequest { number, run, priority, left });
+            node.peer_node.request(PermitRequest { number, run, priority, left });
         }
         node.state.permits().progress(number, now)
     }
@@ -174,7 +174,7 @@
         let node = &self.network.nodes[req.daemon];
         let is_unanswered = node.state.permits().end(number);
         if is_unanswered {
-            node.conductor.cancel(number, run);
+            node.peer_node.cancel(number, run);
         }
     }
 
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -352,11 +352,11 @@
         let silent = node.state.pending().unanswered_for(now);
         let draw = self.rng.random();
         let is_lent = silent >= UNRESPONSIVE_AFTER
-            && !node.conductor.is_planner()
+            && !node.peer_node.is_planner()
             && node.state.pending().take_lent(&name(team), units, draw, now);
         let verdict = match is_lent {
             true => None,
-            false => node.conductor.request_quota(number, &name(team), units),
+            false => node.peer_node.request_quota(number, &name(team), units),
         };
         let epoch = self.hosts.epoch(daemon);
         let waiting = Waiting {
@@ -413,7 +413,7 @@
                 self.refused(&w);
                 continue;
             }
-            match node.conductor.request_quota(w.number, &name(w.team), w.units) {
+            match node.peer_node.request_quota(w.number, &name(w.team), w.units) {
                 Some(Verdict::Later) => {
                     w.is_told_later = true;
                     self.waiting.push(w);
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -117,8 +117,8 @@
             zone: settings.availability_zone.clone(),
             link_mbps: settings.link_mbps.map(|mbps| mbps as u32),
         };
-        let conductor = PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
-        let conductor = Arc::new(conductor);
+        let peer_node = PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
+        let peer_node = Arc::new(peer_node);
         let lifecycle = Arc::new(Lifecycle::default());
         let targets_known = Arc::new(AtomicBool::new(false));
 
@@ -126,8 +126,8 @@
         let server = Server::new(
             Arc::clone(&state),
             dialect,
-            Arc::clone(&conductor) as _,
-            Arc::clone(&conductor) as _,
+            Arc::clone(&peer_node) as _,
+            Arc::clone(&peer_node) as _,
             Arc::clone(&recorder) as _,
             Arc::clone(&lifecycle),
         );
@@ -144,8 +144,8 @@
         let metrics = match settings.listen.metrics_port {
             Some(port) => {
                 let (state, lease) = (Arc::clone(&state), Arc::clone(&lease));
-                let conductor = Arc::clone(&conductor);
-                let page = Arc::new(MetricsPage { recorder, state, lease, conductor });
+                let peer_node = Arc::clone(&peer_node);
+                let page = Arc::new(MetricsPage { recorder, state, lease, peer_node });
                 let address = SocketAddr::new(host, port);
                 Some(serve(address, page_options(settings), page, &pages)?)
             }
@@ -154,12 +154,12 @@
 
         let poison = Arc::new(PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store)));
         let follower = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
-        calls::follow_config(follower, &state, &conductor, Arc::clone(&poison));
-        calls::keep_poison(poison, &state, &conductor);
+        calls::follow_config(follower, &state, &peer_node, Arc::clone(&poison));
+        calls::keep_poison(poison, &state, &peer_node);
         let follower = TargetFollower::new(Arc::clone(&state), store, targets_known);
-        calls::follow_targets(follower, &state, &conductor);
+        calls::follow_targets(follower, &state, &peer_node);
         keep(&keeper);
-        converse(&conductor, socket);
+        converse(&peer_node, socket);
         event::STARTED.emit(&[
             ("daemon", &settings.name),
             ("zone", &settings.availability_zone),
@@ -265,18 +265,18 @@
     });
 }
 
-fn converse(conductor: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
-    let rx = Arc::clone(conductor);
+fn converse(peer_node: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
+    let rx = Arc::clone(peer_node);
     spawn("peers", move || {
         if let Err(e) = rx.receive(&socket) {
             log::error!("the peers' socket failed: {e}");
         }
     });
-    let tx = Arc::clone(conductor);
+    let tx = Arc::clone(peer_node);
     spawn("conduct", move || tx.run());
-    let tx = Arc::clone(conductor);
+    let tx = Arc::clone(peer_node);
     spawn("crashes", move || tx.run_crash_reports());
-    let tx = Arc::clone(conductor);
+    let tx = Arc::clone(peer_node);
     spawn("permits", move || tx.run_permit_grants());
 }
 
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -23,13 +23,13 @@
 pub(super) fn keep_poison(
     keeper: Arc<PoisonKeeper>,
     state: &Arc<State>,
-    conductor: &Arc<PeerNode>,
+    peer_node: &Arc<PeerNode>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("poison", move || {
         loop {
             let seen = state.poison_changed.count();
-            if keeper.step(conductor.is_planner()) {
+            if keeper.step(peer_node.is_planner()) {
                 state.clock.sleep(keeper::RETRY_INTERVAL);
                 continue;
             }
@@ -43,17 +43,17 @@
 pub(super) fn follow_config(
     mut follower: ConfigFollower,
     state: &Arc<State>,
-    conductor: &Arc<PeerNode>,
+    peer_node: &Arc<PeerNode>,
     poison: Arc<PoisonKeeper>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("config", move || {
         while !poison.read() {
             state.clock.sleep(keeper::RETRY_INTERVAL);
         }
         let mut was_planner = false;
         loop {
-            let is_planner = conductor.is_planner();
+            let is_planner = peer_node.is_planner();
             if is_planner && !was_planner {
                 follower.skip_next_wait();
             }
@@ -64,7 +64,7 @@
             let began = state.now();
             let pause = follower.step();
             pause_calls(&state, began, pause);
-            await_config_call(&state, &conductor);
+            await_config_call(&state, &peer_node);
         }
     });
 }
@@ -85,12 +85,12 @@
 }
 
 /// Waits as long as the planner's news of the configuration are fresh.
-fn await_config_call(state: &State, conductor: &PeerNode) {
+fn await_config_call(state: &State, peer_node: &PeerNode) {
     loop {
         let seen = state.store_call_due.count();
         let mine = state.catalog().map_or(0, |c| c.version);
         let left = state.config_fresh_for(mine);
-        if conductor.is_planner() || mine == 0 || left.is_zero() {
+        if peer_node.is_planner() || mine == 0 || left.is_zero() {
             return;
         }
         state.store_call_due.wait(seen, left);
@@ -101,13 +101,13 @@
 pub(super) fn follow_targets(
     mut follower: TargetFollower,
     state: &Arc<State>,
-    conductor: &Arc<PeerNode>,
+    peer_node: &Arc<PeerNode>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("targets", move || {
         let mut was_planner = false;
         loop {
-            let is_planner = conductor.is_planner();
+            let is_planner = peer_node.is_planner();
             if is_planner && !was_planner {
                 follower.request_full_read();
             }
@@ -115,24 +115,24 @@
             let began = state.now();
             if !follower.step() {
                 pause_calls(&state, began, follower.pause());
-                await_list_call(&state, &conductor, Duration::ZERO);
-            } else if conductor.is_planner() {
-                pause_planner(&state, &conductor);
+                await_list_call(&state, &peer_node, Duration::ZERO);
+            } else if peer_node.is_planner() {
+                pause_planner(&state, &peer_node);
             } else {
                 // Without fresh news the list is read at the pace of a planner.
-                await_list_call(&state, &conductor, state.list_poll_interval());
+                await_list_call(&state, &peer_node, state.list_poll_interval());
             }
         }
     });
 }
 
 /// Waits until the list is to be followed again, sooner if a load is due.
-fn pause_planner(state: &State, conductor: &PeerNode) {
+fn pause_planner(state: &State, peer_node: &PeerNode) {
     let began = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
         let pace = state.spans.list_poll_interval;
-        let span = if conductor.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
+        let span = if peer_node.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
         let left = span.saturating_sub(began.elapsed());
         if left.is_zero() {
             return;
@@ -142,13 +142,13 @@
 }
 
 /// Waits at least for `least`, and as long as the planner's news of the list are fresh.
-fn await_list_call(state: &State, conductor: &PeerNode, least: Duration) {
+fn await_list_call(state: &State, peer_node: &PeerNode, least: Duration) {
     let until = state.now() + least;
     loop {
         let seen = state.store_call_due.count();
         let now = state.now();
         let left = state.list_fresh_for(now).max(until.since(now));
-        if conductor.is_planner() || left.is_zero() {
+        if peer_node.is_planner() || left.is_zero() {
             return;
         }
         state.store_call_due.wait(seen, left);
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -55,7 +55,7 @@
     pub(super) recorder: Arc<PageRecorder>,
     pub(super) state: Arc<State>,
     pub(super) lease: Arc<SharedLease>,
-    pub(super) conductor: Arc<PeerNode>,
+    pub(super) peer_node: Arc<PeerNode>,
 }
 
 impl MetricsPage {
@@ -95,7 +95,7 @@
         for (gauge, value) in gauges {
             self.recorder.gauge(gauge.name, &daemon, value);
         }
-        for (team, left) in self.conductor.quotas_left().into_iter().take(TEAMS_SHOWN) {
+        for (team, left) in self.peer_node.quotas_left().into_iter().take(TEAMS_SHOWN) {
             self.recorder.gauge(metric::QUOTA_LEFT.name, &ServiceName::from(team.as_str()), left);
         }
         for (service, retries) in self.state.retries() {
