--- a/crates/tansyknot-fleet/examples/limits.rs
+++ b/crates/tansyknot-fleet/examples/limits.rs
@@ -10,9 +10,9 @@
     access::{message::Stamp, share::Share},
     backpressure::{
         Rate,
-        scheduler::{Ask, Scheduler},
+        scheduler::{QueuedRequest, Scheduler},
     },
-    dissemination::pace::BEAT,
+    dissemination::heartbeat::HEARTBEAT_INTERVAL,
     poison::key::RunKey,
 };
 
@@ -68,7 +68,7 @@
 impl Way for Lent {
     fn admit(&mut self, waiting: &[Request], now: Time, rng: &mut StdRng) -> Vec<u32> {
         if now >= self.beat_at {
-            self.beat_at = now + BEAT;
+            self.beat_at = now + HEARTBEAT_INTERVAL;
             let all = waiting.len().max(1) as f64;
             for (n, share) in self.parts.shares.iter_mut().enumerate() {
                 let own = waiting.iter().filter(|r| r.daemon == n).count() as f64;
@@ -90,7 +90,7 @@
         for r in waiting {
             let from: SocketAddr = ([10, 0, 0, 1], 7000).into();
             let stamp = Stamp { run: 0, us: now.as_micros() };
-            let ask = Ask { from, number: r.number, stamp, priority: 0, until: r.until };
+            let ask = QueuedRequest { from, number: r.number, stamp, priority: 0, until: r.until };
             self.scheduler.ask(RUN, self.rate, ask, now);
         }
         let rate = self.rate;
--- a/crates/tansyknot-fleet/src/access.rs
+++ b/crates/tansyknot-fleet/src/access.rs
@@ -1,7 +1,7 @@
 //! Access control for requests: identifies the team of a request, checks its key, and charges the
 //! team's quota, before the request waits for anything. Has no threads or sockets.
 //!
-//! `serve` calls this module. `conduct` exchanges its messages with the planner.
+//! `serve` calls this module. `peering` exchanges its messages with the planner.
 
 pub mod account;
 pub mod lending;
@@ -31,7 +31,7 @@
 
 /// The facts by which a request is identified.
 #[derive(Clone, Copy, Debug)]
-pub struct Claim<'a> {
+pub struct RequestCredentials<'a> {
     /// The key that the request carries.
     pub key: Option<&'a str>,
     /// When the request had arrived. It was sent no later, and its key has to be valid when it is
@@ -48,21 +48,21 @@
 /// Fails if no team has the key, or if this daemon's view of the keys is too old to decide.
 pub fn identify(
     teams: &Teams,
-    claim: Claim<'_>,
+    credentials: RequestCredentials<'_>,
     view: &KeyView,
     options: &ViewOptions,
 ) -> Result<Arc<Team>, Denied> {
-    let age = view.age(claim.version, claim.arrived);
-    match claim.key.and_then(|key| teams.holder(key)) {
-        Some(team) if age <= options.good_for => Ok(Arc::clone(team)),
-        None if age <= options.settled_for => Err(Denied::UnknownKey),
+    let age = view.age(credentials.version, credentials.arrived);
+    match credentials.key.and_then(|key| teams.holder(key)) {
+        Some(team) if age <= options.accept_known_for => Ok(Arc::clone(team)),
+        None if age <= options.reject_unknown_for => Err(Denied::UnknownKey),
         Some(_) | None => Err(Denied::StaleKeys),
     }
 }
 
 /// The result of charging a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum QuotaDecision {
     /// The quota had enough units, and they are taken.
     Granted,
     /// The quota has too few units.
@@ -76,8 +76,8 @@
 
 /// Charges the quotas of teams, over all daemons.
 pub trait Quotas: Send + Sync {
-    /// Takes `units` of a team's quota; waits for the planner's reply for at most `patience`.
-    fn take(&self, team: &TeamName, units: f64, patience: Duration) -> Ruling;
+    /// Takes `units` of a team's quota; waits for the planner's reply for at most `timeout`.
+    fn take(&self, team: &TeamName, units: f64, timeout: Duration) -> QuotaDecision;
 }
 
 /// Bounds on keys and quotas, over all daemons.
--- a/crates/tansyknot-fleet/src/access/lending.rs
+++ b/crates/tansyknot-fleet/src/access/lending.rs
@@ -8,8 +8,8 @@
 use super::{
     AccessOptions,
     account::{Account, Outcome},
-    message::{Lent, TeamUse, Verdict},
-    share::{LIFE, SILENT_AFTER},
+    message::{LentShare, TeamUse, Verdict},
+    share::{SHARE_LIFETIME, UNRESPONSIVE_AFTER},
     team::Teams,
 };
 
@@ -57,7 +57,7 @@
 
 /// A request for units of a team's quota.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct QuotaWithdrawal<'a> {
     /// The address of the daemon that sent the request.
     pub from: SocketAddr,
     /// The number of the request at that daemon.
@@ -70,7 +70,7 @@
 
 /// The accounts of all teams and the shares that daemons were lent, as one planner maintains them.
 #[derive(Debug, Default)]
-pub struct Books {
+pub struct QuotaAccounts {
     /// The fencing token of the planner that maintains the accounts.
     fence: u64,
     opened: Time,
@@ -83,7 +83,7 @@
     tallies: HashMap<TeamName, Tally>,
 }
 
-impl Books {
+impl QuotaAccounts {
     /// Opens new accounts for the planner with `fence`, unless the current ones are its own and
     /// were maintained recently: older ones lack what was used since.
     pub fn begin(&mut self, fence: u64, now: Time) {
@@ -95,12 +95,12 @@
     /// Decides whether a request gets its units.
     pub fn take(
         &mut self,
-        asked: Asked<'_>,
+        withdrawal: QuotaWithdrawal<'_>,
         teams: &Teams,
         options: &AccessOptions,
         now: Time,
     ) -> Verdict {
-        let Asked { from, number, team, units } = asked;
+        let QuotaWithdrawal { from, number, team, units } = withdrawal;
         if let Some((verdict, _)) = self.verdicts.get(&(from, number)) {
             return *verdict;
         }
@@ -153,7 +153,7 @@
     }
 
     /// Records the use that a daemon reports.
-    pub fn hear(
+    pub fn record_use(
         &mut self,
         from: SocketAddr,
         uses: &[TeamUse],
@@ -174,12 +174,12 @@
         let is_settled = now.since(self.opened) >= SETTLING_PERIOD;
         for item in uses {
             let Some(account) = self.account(&item.team, teams, options, now) else { continue };
-            account.charge(f64::from(item.again), now);
+            account.charge(f64::from(item.retried), now);
             // Units that were lent before the accounts were opened don't belong to them.
             if is_settled {
                 account.charge(f64::from(item.lent), now);
             }
-            for back in &item.back {
+            for back in &item.returned {
                 let age = Duration::from_millis(back.age_ms.into());
                 account.give_back(f64::from(back.units), age, now);
             }
@@ -187,7 +187,7 @@
     }
 
     /// Returns the shares that a daemon may use without asking the planner.
-    pub fn lend(&mut self, to: SocketAddr, teams: &Teams, now: Time) -> Vec<Lent> {
+    pub fn lend(&mut self, to: SocketAddr, teams: &Teams, now: Time) -> Vec<LentShare> {
         let count = self.borrowers.len().max(1) as f64;
         let Some(borrower) = self.borrowers.get(&to) else { return Vec::new() };
         let lent = |team: &TeamName, own: f64| {
@@ -200,7 +200,7 @@
         let lent: HashMap<TeamName, f64> =
             borrower.uses.iter().filter_map(|(team, own)| lent(team, *own)).collect();
         let shares =
-            lent.iter().map(|(team, rate)| Lent { team: team.clone(), rate: *rate as u32 });
+            lent.iter().map(|(team, rate)| LentShare { team: team.clone(), rate: *rate as u32 });
         let shares = shares.collect();
         if let Some(borrower) = self.borrowers.get_mut(&to) {
             borrower.lent = lent;
@@ -211,7 +211,7 @@
 
     /// Opens the accounts of new teams, charges the shares of unresponsive daemons, and removes
     /// daemons whose shares have expired.
-    pub fn keep(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
+    pub fn maintain(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
         self.maintained_at = now;
         self.accounts.retain(|team, _| teams.quota(team).is_some());
         for team in teams.all() {
@@ -225,10 +225,10 @@
     fn charge_unresponsive(&mut self, teams: &Teams, options: &AccessOptions, now: Time) {
         let mut used: Vec<(TeamName, f64)> = Vec::new();
         for b in self.borrowers.values_mut() {
-            if now.since(b.last_seen) < SILENT_AFTER {
+            if now.since(b.last_seen) < UNRESPONSIVE_AFTER {
                 continue;
             }
-            let until = now.min(b.last_seen + SILENT_AFTER + LIFE);
+            let until = now.min(b.last_seen + UNRESPONSIVE_AFTER + SHARE_LIFETIME);
             let elapsed = until.since(b.charged_until).as_secs_f64();
             b.charged_until = b.charged_until.max(until);
             used.extend(b.lent.iter().map(|(team, rate)| (team.clone(), rate * elapsed)));
@@ -238,7 +238,7 @@
                 account.charge(units, now);
             }
         }
-        self.borrowers.retain(|_, b| now.since(b.last_seen) < SILENT_AFTER + LIFE);
+        self.borrowers.retain(|_, b| now.since(b.last_seen) < UNRESPONSIVE_AFTER + SHARE_LIFETIME);
         self.used.clear();
         for (team, per_s) in self.borrowers.values().flat_map(|b| &b.uses) {
             *self.used.entry(team.clone()).or_default() += per_s;
--- a/crates/tansyknot-fleet/src/conduct.rs
+++ b/crates/tansyknot-fleet/src/peering.rs
@@ -1,12 +1,12 @@
 //! Coordination between daemons: each daemon sends its demand to the planner, which plans, orders
 //! targets and publishes updates to all daemons.
 
-mod account;
 mod crashes;
 mod permit;
 mod planning;
+mod publishing;
 pub mod quota;
-mod telling;
+mod stats;
 
 use std::{
     io,
@@ -22,45 +22,45 @@
 };
 
 use crate::{
-    access::lending::Books,
+    access::lending::QuotaAccounts,
     backpressure::scheduler::Scheduler,
     dissemination::{
         datagram::{self, FORWARD_MAX_BYTES},
-        message::{Demand, Extent, Forward, Message, News},
-        pace::{self, Occasion, Pace},
+        heartbeat::{self, HeartbeatSchedule, StepReason},
+        message::{Demand, Extent, Forward, Message, PlannerUpdate},
         peers::PeerEntry,
-        relays::FOLLOWERS_MOST,
+        relays::MAX_FOLLOWERS,
     },
-    fleet::Whole,
-    keep::{self, SharedLease},
-    outside::Datagrams,
+    fleet::UpdateId,
+    lease_keeper::{self, SharedLease},
     plan::Planner,
+    platform_api::DatagramSender,
     state::State,
-    task::Orders,
+    task::TaskRunner,
 };
 
-use account::CoordinationStats;
 use crashes::ResendTimes;
-use telling::Published;
+use publishing::Published;
+use stats::CoordinationStats;
 
 /// One daemon's part in the coordination between daemons.
-pub struct Conductor {
+pub struct PeerNode {
     state: Arc<State>,
     lease: Arc<SharedLease>,
-    orders: Arc<Orders>,
+    orders: Arc<TaskRunner>,
     planner: Mutex<Planner>,
     published: Mutex<Published>,
     stats: Mutex<CoordinationStats>,
     resend_times: Mutex<ResendTimes>,
-    quota_accounts: Mutex<Books>,
+    quota_accounts: Mutex<QuotaAccounts>,
     scheduler: Mutex<Scheduler>,
-    peers: Arc<dyn Datagrams>,
-    me: Me,
+    peers: Arc<dyn DatagramSender>,
+    me: DaemonIdentity,
 }
 
 /// How a daemon identifies itself to the others.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct DaemonIdentity {
     /// The daemon's name.
     pub daemon: Arc<str>,
     /// The identifier of this run of the daemon.
@@ -73,9 +73,14 @@
     pub link_mbps: Option<u32>,
 }
 
-impl Conductor {
-    /// Creates the conductor of the daemon that `me` describes.
-    pub fn new(state: Arc<State>, orders: Arc<Orders>, peers: Arc<dyn Datagrams>, me: Me) -> Self {
+impl PeerNode {
+    /// Creates the node of the daemon that `me` describes.
+    pub fn new(
+        state: Arc<State>,
+        orders: Arc<TaskRunner>,
+        peers: Arc<dyn DatagramSender>,
+        me: DaemonIdentity,
+    ) -> Self {
         let lease = Arc::clone(&orders.lease);
         state.peers().set_local_address(me.address);
         Self {
@@ -107,7 +112,7 @@
 
     /// Returns the planner's quota accounts, which are reset if this daemon has become the planner
     /// since the last call.
-    fn quota_accounts(&self) -> MutexGuard<'_, Books> {
+    fn quota_accounts(&self) -> MutexGuard<'_, QuotaAccounts> {
         let mut quota_accounts = self.quota_accounts.lock().expect("no holder of the lock panics");
         quota_accounts.begin(self.lease.fence(), self.state.now());
         quota_accounts
@@ -126,7 +131,7 @@
         let mut buf = [0; 2 * FORWARD_MAX_BYTES];
         loop {
             match socket.recv_from(&mut buf) {
-                Ok((n, from)) => self.take(&buf[..n], from),
+                Ok((n, from)) => self.handle_datagram(&buf[..n], from),
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -135,23 +140,23 @@
     }
 
     /// Handles one datagram received from `from`.
-    pub fn take(&self, bytes: &[u8], from: SocketAddr) {
+    pub fn handle_datagram(&self, bytes: &[u8], from: SocketAddr) {
         let now = self.state.now();
         self.stats().received.add(bytes.len());
         self.count_metric(metric::PEER_BYTES_IN, bytes.len());
         match datagram::decode(bytes) {
             Some(Message::Demand(demand)) => self.handle_demand(demand, from, now),
-            Some(Message::News(update)) => self.handle_update(update, now),
+            Some(Message::Update(update)) => self.handle_update(update, now),
             Some(Message::Forward(forward)) => self.handle_forward(&forward, from, now),
             Some(Message::Crashes(evidence)) => self.handle_crashes(&evidence, from, now),
-            Some(Message::Question(report)) => self.handle_usage_report(&report, from, now),
-            Some(Message::Answer(reply)) => self.handle_usage_reply(&reply, now),
-            Some(Message::Take(request)) => self.handle_quota_request(&request, from, now),
-            Some(Message::Taken(quota_reply)) => self.handle_quota_reply(quota_reply),
+            Some(Message::UsageReport(report)) => self.handle_usage_report(&report, from, now),
+            Some(Message::UsageReply(reply)) => self.handle_usage_reply(&reply, now),
+            Some(Message::QuotaRequest(request)) => self.handle_quota_request(&request, from, now),
+            Some(Message::QuotaReply(quota_reply)) => self.handle_quota_reply(quota_reply),
             Some(Message::Signals(signals)) => self.handle_signals(&signals, now),
-            Some(Message::PermitAsk(query)) => self.handle_permit_query(&query, from, now),
-            Some(Message::PermitAnswer(reply)) => self.handle_permit_reply(&reply, now),
-            Some(Message::PermitEnd(end)) => self.handle_permit_cancel(end, from),
+            Some(Message::PermitQuery(query)) => self.handle_permit_query(&query, from, now),
+            Some(Message::PermitReply(reply)) => self.handle_permit_reply(&reply, now),
+            Some(Message::PermitCancel(end)) => self.handle_permit_cancel(end, from),
             None => event::DATAGRAM_DROPPED.emit(&[("from", &from)]),
         }
     }
@@ -163,24 +168,28 @@
         self.handle_crashes(&demand.crashes, from, now);
         self.compare_poison(demand.poison, from, now);
         if self.state.fleet().merge_signals(&demand.signals, now) {
-            self.state.view_changed();
+            self.state.notify_view_changed();
         }
-        let needs_reply =
-            self.published().audience.hear(entry, demand.known, self.lease.fence(), now);
-        self.planner().hear(demand, now);
+        let needs_reply = self.published().recipients.record_demand(
+            entry,
+            demand.received,
+            self.lease.fence(),
+            now,
+        );
+        self.planner().record_demand(demand, now);
         if is_urgent || needs_reply {
-            self.state.demand_changed.raise();
+            self.state.demand_changed.notify();
         }
     }
 
     /// Relays an update to other followers and applies it, if it comes from the newest planner that
     /// this daemon has seen.
     fn handle_forward(&self, forward: &Forward, from: SocketAddr, now: Time) {
-        let Some(Message::News(update)) = datagram::decode(&forward.datagram) else {
+        let Some(Message::Update(update)) = datagram::decode(&forward.datagram) else {
             event::DATAGRAM_DROPPED.emit(&[("from", &from)]);
             return;
         };
-        if forward.to.len() > FOLLOWERS_MOST {
+        if forward.to.len() > MAX_FOLLOWERS {
             event::DATAGRAM_DROPPED.emit(&[("from", &from)]);
             return;
         }
@@ -190,7 +199,7 @@
         }
     }
 
-    fn handle_update(&self, update: News, now: Time) {
+    fn handle_update(&self, update: PlannerUpdate, now: Time) {
         if self.accept_update(&update, now) {
             self.apply_update(update, now);
         }
@@ -198,81 +207,81 @@
 
     /// Records the contact with the planner that sent `update`. Returns whether it is another
     /// daemon and the newest planner that this one has seen.
-    fn accept_update(&self, update: &News, now: Time) -> bool {
-        let contact = keep::Told {
+    fn accept_update(&self, update: &PlannerUpdate, now: Time) -> bool {
+        let contact = lease_keeper::PlannerStatus {
             fence: update.fence,
             daemon: Arc::clone(&update.planner),
             address: update.address,
             version: update.lease_version,
             sent: now.before(Duration::from_millis(update.lease_age_ms.into())),
         };
-        !self.lease.is_mine() && self.lease.hear(contact, now)
+        !self.lease.is_mine() && self.lease.record_message(contact, now)
     }
 
     /// Applies an update from the planner that this daemon follows.
-    fn apply_update(&self, update: News, now: Time) {
+    fn apply_update(&self, update: PlannerUpdate, now: Time) {
         self.compare_poison(update.poison, update.address, now);
         let own_version = self.state.catalog().map_or(0, |c| c.version);
         let (changes, is_config_behind, has_new_gap) = {
-            let mut followed = self.state.followed();
+            let mut view = self.state.planner_view();
             let config_age = Duration::from_millis(update.config_age_ms.into());
-            followed.config(update.config, config_age, now);
-            let was_missing = followed.is_missing();
-            let changes = followed.list(update.fence, update.list.clone(), now);
-            let is_config_behind = own_version < followed.config_version();
-            (changes, is_config_behind, followed.is_missing() && !was_missing)
+            view.record_config(update.config, config_age, now);
+            let was_missing = view.has_gap();
+            let changes = view.apply_list_update(update.fence, update.list.clone(), now);
+            let is_config_behind = own_version < view.config_version();
+            (changes, is_config_behind, view.has_gap() && !was_missing)
         };
         {
             let mut peers = self.state.peers();
             update.peers.into_iter().for_each(|peer| peers.add(peer, now));
         }
         let mut fleet = self.state.fleet();
-        fleet.signals_synced();
+        fleet.mark_signals_synced();
         let is_changed = fleet.merge_signals(&update.signals, now) || !changes.is_empty();
-        fleet.set_daemons(update.daemons.into());
-        fleet.set_list_version(update.list.version);
+        fleet.raise_daemon_count(update.daemons.into());
+        fleet.raise_list_version(update.list.version);
         for change in changes {
-            fleet.apply_news(change, update.fence, now);
+            fleet.apply_update(change, update.fence, now);
         }
         match update.extent {
-            Extent::All => {
-                let update_id = Whole { fence: update.fence, beat: update.beat };
-                fleet.note_loads(update_id, &update.loads, &update.coming, now);
+            Extent::Full => {
+                let update_id = UpdateId { fence: update.fence, seq: update.seq };
+                fleet.apply_loads(update_id, &update.loads, &update.pending_loads, now);
             }
-            Extent::Changes => fleet.note_changes(&update.loads, &update.coming, now),
+            Extent::Changes => fleet.apply_load_changes(&update.loads, &update.pending_loads, now),
         }
         drop(fleet);
         if is_changed {
-            self.state.targets_changed.raise();
+            self.state.targets_changed.notify();
         }
         if is_config_behind || self.state.list_fresh_for(now).is_zero() {
-            self.state.call_due.raise();
+            self.state.store_call_due.notify();
         }
         if has_new_gap {
-            self.state.demand_changed.raise();
+            self.state.demand_changed.notify();
         }
     }
 
     /// Sends demand as a follower, or plans and publishes updates as the planner, until the process
     /// ends.
-    pub fn conduct(self: &Arc<Self>) {
+    pub fn run(self: &Arc<Self>) {
         let mut seen = 0;
-        let mut pace = Pace::new(self.state.now());
+        let mut schedule = HeartbeatSchedule::new(self.state.now());
         loop {
             let now = self.state.now();
-            let max_wait = pace.left(now).min(self.left(now));
+            let max_wait = schedule.time_left(now).min(self.left(now));
             let count = self.state.demand_changed.wait(seen, max_wait);
             let has_changed = count != seen;
             seen = count;
             let now = self.state.now();
-            let delay = pace.late(now);
+            let delay = schedule.overdue_by(now);
             let is_due = has_changed || self.left(now).is_zero();
-            if let Some(occasion) = pace.occasion(is_due, now) {
-                if occasion == Occasion::Beat {
+            if let Some(reason) = schedule.step_reason(is_due, now) {
+                if reason == StepReason::Heartbeat {
                     self.stats().heartbeat_delay.add(delay);
                 }
-                self.step(occasion);
-                self.state.clock.sleep(pace::pause_after(self.state.now().since(now)));
+                self.step(reason);
+                self.state.clock.sleep(heartbeat::pause_after(self.state.now().since(now)));
             }
         }
     }
@@ -283,14 +292,14 @@
     }
 
     /// Runs one step: sends demand as a follower, or plans and publishes as the planner.
-    pub fn step(self: &Arc<Self>, occasion: Occasion) {
+    pub fn step(self: &Arc<Self>, reason: StepReason) {
         let now = self.state.now();
         let demand = self.current_demand(now);
-        if occasion == Occasion::Beat {
+        if reason == StepReason::Heartbeat {
             self.send_usage_report(now);
         }
         if self.lease.is_valid(now) {
-            self.run_planner_step(demand, occasion, now);
+            self.run_planner_step(demand, reason, now);
         } else {
             self.published().stop();
             self.send_demand(demand);
@@ -300,26 +309,25 @@
 
     /// Returns the demand that this daemon reports to the planner.
     fn current_demand(&self, now: Time) -> Demand {
-        let beat = self.published().next_seq();
-        let known = self.state.followed().known(now);
+        let seq = self.published().next_seq();
+        let received = self.state.planner_view().known(now);
         let (poison, crashes) = {
             let mut poison = self.state.poison();
-            (poison.digest(), poison.found(now))
+            (poison.digest(), poison.findings(now))
         };
         let is_planner_new = self.published().is_planner_new(self.lease.fence(), now);
         let mut fleet = self.state.fleet();
         fleet.expire(now);
         // A new planner may have received no signals yet.
-        let signals =
-            if is_planner_new { fleet.known_signals(now) } else { fleet.recent_signals(now) };
+        let signals = if is_planner_new { fleet.signals(now) } else { fleet.recent_signals(now) };
         Demand {
             daemon: Arc::clone(&self.me.daemon),
             incarnation: Arc::clone(&self.me.incarnation),
-            beat,
+            seq,
             zone: self.me.zone.clone(),
             link_mbps: self.me.link_mbps,
-            known,
-            models: fleet.uses(now),
+            received,
+            models: fleet.model_uses(now),
             in_flight: fleet.in_flight(),
             poison,
             crashes,
@@ -334,23 +342,23 @@
         }
     }
 
-    fn run_planner_step(self: &Arc<Self>, demand: Demand, occasion: Occasion, now: Time) {
+    fn run_planner_step(self: &Arc<Self>, demand: Demand, reason: StepReason, now: Time) {
         let is_new = !std::mem::replace(&mut self.published().was_planner, true);
         if is_new {
-            self.state.fleet().signals_synced();
+            self.state.fleet().mark_signals_synced();
             self.planner().reset();
             self.start_publishing(now);
             // The previous planner may have left the row of poison requests outdated.
-            self.state.poison_changed.raise();
+            self.state.poison_changed.notify();
         }
         // A new planner announces itself to all daemons at once.
-        let occasion = if is_new { Occasion::Beat } else { occasion };
-        self.planner().hear(demand, now);
+        let reason = if is_new { StepReason::Heartbeat } else { reason };
+        self.planner().record_demand(demand, now);
         self.plan(now);
         let planned_at = self.state.now();
-        self.publish(occasion, planned_at);
+        self.publish(reason, planned_at);
         let published_at = self.state.now();
-        let daemons = self.planner().daemons();
+        let daemons = self.planner().daemon_count();
         let mut stats = self.stats();
         stats.planning.add(planned_at.since(now));
         stats.publishing.add(published_at.since(planned_at));
@@ -369,6 +377,6 @@
 
     /// Returns whether a load is due that the list of targets does not show yet.
     pub fn awaits_load(&self) -> bool {
-        self.orders.due.load(Ordering::SeqCst) > 0
+        self.orders.overdue_loads.load(Ordering::SeqCst) > 0
     }
 }
--- a/crates/tansyknot-fleet/src/plan/place.rs
+++ b/crates/tansyknot-fleet/src/plan/place.rs
@@ -8,10 +8,11 @@
 };
 
 use super::{
-    ORDER_OVERHEAD, Planner, Round, Step, Task, Tier, model_mb, needed_copies, used_mb,
-    way::{self, Eviction, Victim},
+    ORDER_OVERHEAD, Planner, Round, Step, Task, Tier,
+    eviction::{self, Eviction, Victim},
+    model_mb, needed_copies, used_mb,
 };
-use crate::{catalog::Model, outside::Action, target::Target};
+use crate::{catalog::Model, platform_api::Action, target::Target};
 
 /// The remaining time assumed for a task that should be done by now: the end of 90% of loads is
 /// reported within 0.1 s.
@@ -149,7 +150,7 @@
         let free_mb = engine.memory_mb - used_mb(engine, target);
         let victims =
             target.models.iter().filter_map(|held| self.victim(round, target, &held.model));
-        way::cheapest(spec.memory_mb - free_mb, victims.collect())
+        eviction::cheapest(spec.memory_mb - free_mb, victims.collect())
     }
 
     /// Returns what the eviction of a model from a target frees and costs; `None` if the model must
@@ -173,7 +174,7 @@
     }
 
     /// Counts a load from the weight store that is about to be ordered.
-    pub fn remote_begins(&mut self, now: Time) {
+    pub fn count_remote_load(&mut self, now: Time) {
         self.remote_loads.retain(|at| now.since(*at) < REMOTE_WINDOW);
         self.remote_loads.push_back(now);
     }
@@ -197,10 +198,12 @@
 }
 
 fn load_task(target: &Arc<Target>, victims: Vec<ModelName>, spec: &Model, tier: Tier) -> Task {
-    let remove =
-        |model| Step { action: Action::Remove { model, adapter: None }, takes: Duration::ZERO };
+    let remove = |model| Step {
+        action: Action::Remove { model, adapter: None },
+        expected_duration: Duration::ZERO,
+    };
     let mut steps: Vec<Step> = victims.into_iter().map(remove).collect();
     let action = Action::Load { model: spec.name.clone(), adapter: None };
-    steps.push(Step { action, takes: tier.load_time(spec) });
+    steps.push(Step { action, expected_duration: tier.load_time(spec) });
     Task { target: Arc::clone(target), steps }
 }
--- a/crates/tansyknot-fleet/src/serve.rs
+++ b/crates/tansyknot-fleet/src/serve.rs
@@ -5,9 +5,9 @@
 mod attempt;
 mod crash;
 mod handover;
+mod log_limit;
 mod permit;
-mod run;
-mod sample;
+mod request;
 mod signal;
 mod wait;
 
@@ -30,17 +30,17 @@
     backpressure::Permits,
     catalog::{Catalog, Route},
     exchange::Failure,
-    outside::{Ask, Dialect},
+    platform_api::{Dialect, RequestParams},
     poison::key::RequestKey,
-    relay::{CallerConnection, EventRelay},
+    response_relay::{CallerConnection, EventRelay},
     state::State,
     target::Target,
 };
 
 use access::Identity;
-pub use run::Reason;
-use run::{ActiveRequest, Ended, NotRun, Refusal, SendOutcome};
-use sample::LogRateLimit;
+use log_limit::LogRateLimit;
+pub use request::Reason;
+use request::{ActiveRequest, Ended, NotRun, Refusal, SendOutcome};
 
 /// Time limit of a request that names no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
@@ -74,11 +74,11 @@
     }
 
     /// Resolves the route, the service and the team of a request.
-    fn route(&self, head: &Head, params: &Ask, arrived: Time) -> Result<Routed, Reason> {
+    fn route(&self, head: &Head, params: &RequestParams, arrived: Time) -> Result<Routed, Reason> {
         if self.lifecycle.is_ending() {
             return Err(Reason::Stopping);
         }
-        let (catalog, view) = self.state.in_force();
+        let (catalog, view) = self.state.active_catalog_and_keys();
         let catalog = catalog.ok_or(Reason::NoConfiguration)?;
         let host = head.header("host").unwrap_or("");
         let route = find_route(&catalog, host, &head.path).ok_or(Reason::NoRoute)?;
@@ -92,7 +92,7 @@
     fn refuse_on_arrival(
         &self,
         req: &Request,
-        params: &Ask,
+        params: &RequestParams,
         refusal: Refusal,
         stream: &mut TcpStream,
         after: After,
@@ -106,8 +106,8 @@
         self.refuse(&params.id, reason, retry_after, stream, after)
     }
 
-    fn log_refusal(&self, req: &Request, params: &Ask, reason: Reason) {
-        let (catalog, view) = self.state.in_force();
+    fn log_refusal(&self, req: &Request, params: &RequestParams, reason: Reason) {
+        let (catalog, view) = self.state.active_catalog_and_keys();
         let version = catalog.map_or(0, |c| c.version);
         let now = self.state.now();
         let keys_age = view.as_of(version).map(|at| now.since(at).as_millis());
@@ -125,7 +125,7 @@
         if self.state.poison().is_convicted(request.key) {
             request.is_trial = self.state.begin_trial(request.key);
         }
-        self.state.fleet().arrived(&request.want(), now);
+        self.state.fleet().count_arrival(&request.want(), now);
         loop {
             let target = match self.next_target(request) {
                 Ok(target) => target,
@@ -192,8 +192,8 @@
     }
 
     fn release_target(&self, request: &ActiveRequest<'_>, target: &Target) {
-        self.state.fleet().leave(&target.name, request.params.model.as_ref());
-        self.state.targets_changed.raise();
+        self.state.fleet().end_request(&target.name, request.params.model.as_ref());
+        self.state.targets_changed.notify();
     }
 
     /// Returns the target of the next send, after counting the send as the first one or as a retry.
@@ -206,7 +206,7 @@
             if !std::mem::replace(&mut request.is_first_send_counted, true) {
                 self.state.count_first_send(&request.service);
             }
-        } else if request.transmissions > 0 && !self.state.take_second_send(&request.service) {
+        } else if request.transmissions > 0 && !self.state.take_retry(&request.service) {
             self.release_target(request, &target);
             request.note(format_args!("retry budget empty"));
             return Err(Reason::RefusedByTargets);
@@ -222,7 +222,8 @@
         stream: &mut TcpStream,
         after: After,
     ) -> io::Result<After> {
-        let retry_after = retry_after.or_else(|| reason.retry_after(self.state.store_is_away()));
+        let retry_after =
+            retry_after.or_else(|| reason.retry_after(self.state.store_is_unavailable()));
         let headers = self.dialect.refusal(id, retry_after);
         let body = format!("{{\"reason\":\"{}\"}}", reason.name()).into_bytes();
         let content_type = "application/json".to_owned();
@@ -315,7 +316,7 @@
 impl Handler for Server {
     fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
         let began = BootInstant::now();
-        let params = self.dialect.ask(&req.head);
+        let params = self.dialect.request_params(&req.head);
         let Routed { route, service, identity } =
             match self.route(&req.head, &params, self.state.now()) {
                 Ok(routed) => routed,
--- a/crates/tansyknot-fleet/src/serve/signal.rs
+++ b/crates/tansyknot-fleet/src/serve/signal.rs
@@ -6,11 +6,11 @@
     name::{ServiceName, TargetName},
 };
 
-use super::{Server, run::ActiveRequest};
+use super::{Server, request::ActiveRequest};
 use crate::{
     backpressure::{Interval, Outcome, Signal, Signals, run_state::Change},
     exchange::ResponseHead,
-    outside::Verdict,
+    platform_api::ResponseClass,
     target::Target,
 };
 
@@ -22,22 +22,24 @@
         request: &ActiveRequest<'_>,
         target: &Target,
         head: &ResponseHead,
-        verdict: Verdict,
+        class: ResponseClass,
         sent: Time,
     ) {
         let signals =
             self.dialect.signals(&request.params.id, &target.name, head.status, &head.headers);
         let Some(signals) = signals else { return };
         self.record_malformed(&target.name, &signals);
-        let outcome = match verdict {
-            Verdict::Ran => Outcome::Ran,
-            Verdict::NotRun | Verdict::Misdirected { .. } | Verdict::Foreign => Outcome::NotRun,
+        let outcome = match class {
+            ResponseClass::Ran => Outcome::Ran,
+            ResponseClass::NotRun
+            | ResponseClass::Misdirected { .. }
+            | ResponseClass::OtherRequest => Outcome::NotRun,
         };
         let at = Interval { sent, received: self.state.now() };
-        let changes = self.state.fleet().hear_signals(target, &signals, outcome, at);
+        let changes = self.state.fleet().record_signals(target, &signals, outcome, at);
         if !changes.is_empty() {
             // Wakes waiting requests and the report to the planner.
-            self.state.view_changed();
+            self.state.notify_view_changed();
         }
         changes.into_iter().for_each(|change| self.record_change(&target.name, change));
     }
@@ -47,7 +49,7 @@
             Change::Limited(rate) => (Signal::Limit, rate.to_string()),
             Change::Unlimited => (Signal::Limit, "none".to_owned()),
             Change::Leaves => (Signal::Leaving, "leaves".to_owned()),
-            Change::Rests(delay) => (Signal::Rest, format!("{} ms", delay.as_millis())),
+            Change::BacksOff(delay) => (Signal::RetryDelay, format!("{} ms", delay.as_millis())),
         };
         self.recorder.count(metric::SIGNALS.name, &ServiceName::from(signal.name()), 1);
         event::TARGET_SIGNAL.emit(&[
--- a/crates/tansyknot-fleet/tests/dissemination.rs
+++ b/crates/tansyknot-fleet/tests/dissemination.rs
@@ -5,7 +5,9 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use support::network::Network;
-use tansyknot_fleet::{dissemination::pace::Occasion, outside::TargetChange, target::Target};
+use tansyknot_fleet::{
+    dissemination::heartbeat::StepReason, platform_api::TargetChange, target::Target,
+};
 use yare::parameterized;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -104,7 +106,7 @@
     let mut network = started(340);
     let planner = network.planner().expect("there is one").address;
     let is_relay = |n: &&mut support::network::Node| {
-        n.address != planner && n.state.peers().before(n.address, n.state.now()) < 5
+        n.address != planner && n.state.peers().rank_of(n.address, n.state.now()) < 5
     };
     network.nodes.iter_mut().filter(is_relay).for_each(|n| n.is_dead = true);
     let left = network.nodes.iter().filter(|n| !n.is_dead).count();
@@ -121,7 +123,7 @@
     let mut network = started(340);
     let planner = network.planner().expect("there is one").address;
     let is_first = |n: &&support::network::Node| {
-        n.address != planner && n.state.peers().before(n.address, n.state.now()) < 2
+        n.address != planner && n.state.peers().rank_of(n.address, n.state.now()) < 2
     };
     network.mute = network.nodes.iter().find(is_first).map(|n| n.address);
     assert!(network.mute.is_some());
@@ -136,20 +138,20 @@
 fn planner_that_has_lost_the_lease_has_nothing_to_tell() {
     let mut network = started(340);
     network.change();
-    network.run(network.planner().expect("there is one").state.spans.list_pace);
+    network.run(network.planner().expect("there is one").state.spans.list_poll_interval);
     let planner = network.planner().expect("there is one");
-    let (conductor, state) = (Arc::clone(&planner.conductor), Arc::clone(&planner.state));
+    let (peer_node, state) = (Arc::clone(&planner.peer_node), Arc::clone(&planner.state));
     planner.cut(true);
     // Its links have just had their share, so that what has changed since waits.
-    conductor.step(Occasion::Beat);
+    peer_node.step(StepReason::Heartbeat);
     let target = support::target("t0", &["m9"], &[]);
     let change = TargetChange::Put(Box::new(Target { version: u64::MAX, ..target }));
-    state.fleet().apply(change, state.now());
-    conductor.step(Occasion::Change);
-    assert!(conductor.left(state.now()) < SECOND, "it waits to be told");
+    state.fleet().apply_change(change, state.now());
+    peer_node.step(StepReason::Change);
+    assert!(peer_node.left(state.now()) < SECOND, "it waits to be told");
     network.clock.advance(SECOND * 2);
-    conductor.step(Occasion::Beat);
-    assert_eq!(conductor.left(state.now()), Duration::MAX);
+    peer_node.step(StepReason::Heartbeat);
+    assert_eq!(peer_node.left(state.now()), Duration::MAX);
 }
 
 #[test]
--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -7,9 +7,9 @@
 
 use tansyknot_core::{Error, Result};
 use tansyknot_fleet::{
-    outside::{Action, Order, Ordered, TargetChange, Targets},
+    platform_api::{Action, Order, OrderReply, TargetChange, Targets},
     state::State,
-    target::{Born, Held, Report, Target},
+    target::{LoadedModel, Report, StartTime, Target},
 };
 
 use super::held;
@@ -30,8 +30,8 @@
 /// A target's engine.
 #[derive(Default)]
 pub(crate) struct Engine1 {
-    pub(crate) born: Option<Born>,
-    pub(crate) models: Vec<Held>,
+    pub(crate) born: Option<StartTime>,
+    pub(crate) models: Vec<LoadedModel>,
     pub(crate) orders: u64,
     pub(crate) faults: VecDeque<OrderFault>,
     pub(crate) late: Option<Order>,
@@ -59,18 +59,18 @@
         let fake = Self { told: Some((Arc::clone(state), target.clone())), ..Self::default() };
         fake.engine().models.clone_from(&target.models);
         fake.engine().most_models = target.models.len();
-        state.fleet().set_all(vec![target.clone()], target.version, None, state.now());
+        state.fleet().apply_full_list(vec![target.clone()], target.version, None, state.now());
         fake
     }
 
     fn tell(&self, engine: &Engine1) {
         let Some((state, target)) = &self.told else { return };
         let version = 1 + engine.orders;
-        let (models, born) = (engine.models.clone(), engine.born);
-        let target = Target { models, born, version, ..target.clone() };
+        let (models, started_at) = (engine.models.clone(), engine.born);
+        let target = Target { models, started_at, version, ..target.clone() };
         let now = state.now();
-        state.fleet().apply(TargetChange::Put(Box::new(target)), now);
-        state.targets_changed.raise();
+        state.fleet().apply_change(TargetChange::Put(Box::new(target)), now);
+        state.targets_changed.notify();
     }
 
     pub(crate) fn engine(&self) -> MutexGuard<'_, Engine1> {
@@ -84,13 +84,13 @@
 }
 
 impl Engine1 {
-    fn carry_out(&mut self, order: &Order) -> Ordered {
-        if order.expected != self.orders {
-            return Ordered::Conflict;
+    fn carry_out(&mut self, order: &Order) -> OrderReply {
+        if order.expected_orders != self.orders {
+            return OrderReply::Conflict;
         }
         match &order.action {
             Action::Load { model, adapter: None } => {
-                self.models.push(Held { model: model.clone(), adapters: Vec::new() });
+                self.models.push(LoadedModel { model: model.clone(), adapters: Vec::new() });
             }
             Action::Remove { model, adapter: None } => self.models.retain(|h| h.model != *model),
             Action::Load { model, adapter: Some(adapter) } => {
@@ -104,12 +104,12 @@
         }
         self.orders += 1;
         self.most_models = self.most_models.max(self.models.len());
-        Ordered::Accepted
+        OrderReply::Accepted
     }
 }
 
 impl Targets for FakeTarget {
-    fn order(&self, _: &Target, order: &Order, allowed: &dyn Fn() -> bool) -> Result<Ordered> {
+    fn order(&self, _: &Target, order: &Order, allowed: &dyn Fn() -> bool) -> Result<OrderReply> {
         if !allowed() {
             return Err(Error::unreachable("target", "not allowed"));
         }
@@ -120,7 +120,7 @@
         let fault = engine.faults.pop_front();
         let result = match fault {
             None => Ok(engine.carry_out(order)),
-            Some(OrderFault::Busy) => Ok(Ordered::Conflict),
+            Some(OrderFault::Busy) => Ok(OrderReply::Conflict),
             Some(OrderFault::Lost) => Err(Error::unknown("target", "no answer")),
             Some(OrderFault::AnswerLost) => {
                 engine.carry_out(order);
@@ -137,7 +137,7 @@
 
     fn report(&self, _: &Target) -> Result<Report> {
         let engine = self.engine();
-        let (orders, models) = (engine.orders, engine.models.clone());
-        Ok(Report { born: engine.born, busy: false, orders, models })
+        let (accepted_orders, models) = (engine.orders, engine.models.clone());
+        Ok(Report { born: engine.born, busy: false, accepted_orders, models })
     }
 }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -21,18 +21,18 @@
 use tansyknot_fleet::{
     access::{AccessOptions, view::ViewOptions},
     budget::BudgetOptions,
-    conduct::{Conductor, Me},
-    counted::CountedStore,
     follow::{ConfigFollower, TargetFollower},
-    keep::{Keeper, Reluctance, SharedLease},
-    lease::{Holder, LeaseOptions},
-    outside::Store,
-    poison::keep::PoisonKeeper,
+    freshness::{Bounds, FreshnessLimits},
+    instrumented_store::InstrumentedStore,
+    lease::{LeaseHolder, LeaseOptions},
+    lease_keeper::{LeaseKeeper, Reluctance, SharedLease},
+    peering::{DaemonIdentity, PeerNode},
+    platform_api::Store,
+    poison::keeper::PoisonKeeper,
     serve::Server,
-    spans::{Bounds, Spans},
+    shutdown::ShutdownPlan,
     state::{State, StateOptions},
-    stop::StopPlan,
-    task::Orders,
+    task::TaskRunner,
 };
 use tansyknot_http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions};
 
@@ -50,7 +50,7 @@
 /// A running daemon.
 pub struct FleetDaemon {
     lifecycle: Arc<Lifecycle>,
-    keeper: Arc<Keeper>,
+    keeper: Arc<LeaseKeeper>,
     grace: Duration,
 }
 
@@ -72,14 +72,15 @@
         let state = Arc::new(State::new(settings.availability_zone.clone(), options, clock));
         let recorder = Arc::new(PageRecorder::default());
         let store = Arc::new(RowStore::new(settings.store, spans.config_wait));
-        let store: Arc<dyn Store> = Arc::new(CountedStore::new(store, Arc::clone(&recorder) as _));
+        let store: Arc<dyn Store> =
+            Arc::new(InstrumentedStore::new(store, Arc::clone(&recorder) as _));
         let lease = Arc::new(SharedLease::default());
         let host = settings.listen.host;
         let socket = UdpSocket::bind(SocketAddr::new(host, settings.listen.peers_port))?;
         let peers = socket.local_addr()?;
         let incarnation: Arc<str> = name::random_id().into();
         let daemon: Arc<str> = settings.name.as_str().into();
-        let me = Holder {
+        let me = LeaseHolder {
             daemon: Arc::clone(&daemon),
             incarnation: Arc::clone(&incarnation),
             address: peers,
@@ -89,8 +90,8 @@
             rests: BTreeMap::new(),
             all_rest: 0,
         };
-        let options = LeaseOptions { turn: settings.bounds.order_turn.duration() };
-        let keeper = Arc::new(Keeper::new(
+        let options = LeaseOptions { handover_interval: settings.bounds.order_turn.duration() };
+        let keeper = Arc::new(LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
             Arc::clone(&lease),
@@ -98,26 +99,26 @@
             options,
             reluctance(settings),
         ));
-        let orders = Arc::new(Orders {
+        let orders = Arc::new(TaskRunner {
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
             targets: Arc::new(Runners),
             recorder: Arc::clone(&recorder) as _,
             daemon,
-            due: 0.into(),
+            overdue_loads: 0.into(),
             ledger: Mutex::default(),
         });
         let socket = Arc::new(socket);
-        let me = Me {
+        let me = DaemonIdentity {
             daemon: settings.name.as_str().into(),
             incarnation,
             address: peers,
             zone: settings.availability_zone.clone(),
             link_mbps: settings.link_mbps.map(|mbps| mbps as u32),
         };
-        let conductor = Conductor::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
-        let conductor = Arc::new(conductor);
+        let peer_node = PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
+        let peer_node = Arc::new(peer_node);
         let lifecycle = Arc::new(Lifecycle::default());
         let targets_known = Arc::new(AtomicBool::new(false));
 
@@ -125,8 +126,8 @@
         let server = Server::new(
             Arc::clone(&state),
             dialect,
-            Arc::clone(&conductor) as _,
-            Arc::clone(&conductor) as _,
+            Arc::clone(&peer_node) as _,
+            Arc::clone(&peer_node) as _,
             Arc::clone(&recorder) as _,
             Arc::clone(&lifecycle),
         );
@@ -143,8 +144,8 @@
         let metrics = match settings.listen.metrics_port {
             Some(port) => {
                 let (state, lease) = (Arc::clone(&state), Arc::clone(&lease));
-                let conductor = Arc::clone(&conductor);
-                let page = Arc::new(MetricsPage { recorder, state, lease, conductor });
+                let peer_node = Arc::clone(&peer_node);
+                let page = Arc::new(MetricsPage { recorder, state, lease, peer_node });
                 let address = SocketAddr::new(host, port);
                 Some(serve(address, page_options(settings), page, &pages)?)
             }
@@ -153,12 +154,12 @@
 
         let poison = Arc::new(PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store)));
         let follower = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
-        calls::follow_config(follower, &state, &conductor, Arc::clone(&poison));
-        calls::keep_poison(poison, &state, &conductor);
+        calls::follow_config(follower, &state, &peer_node, Arc::clone(&poison));
+        calls::keep_poison(poison, &state, &peer_node);
         let follower = TargetFollower::new(Arc::clone(&state), store, targets_known);
-        calls::follow_targets(follower, &state, &conductor);
+        calls::follow_targets(follower, &state, &peer_node);
         keep(&keeper);
-        converse(&conductor, socket);
+        converse(&peer_node, socket);
         event::STARTED.emit(&[
             ("daemon", &settings.name),
             ("zone", &settings.availability_zone),
@@ -176,8 +177,8 @@
         self.lifecycle.drain();
         event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.busy())]);
         self.keeper.release();
-        let plan = StopPlan::of(self.grace);
-        while began.elapsed() < plan.cut_after {
+        let plan = ShutdownPlan::for_grace_period(self.grace);
+        while began.elapsed() < plan.abort_after {
             let refuses = began.elapsed() >= plan.refuse_after;
             if refuses {
                 self.lifecycle.end();
@@ -193,8 +194,8 @@
     }
 }
 
-fn spans(settings: &FleetSettings) -> Spans {
-    Spans::of(&Bounds {
+fn spans(settings: &FleetSettings) -> FreshnessLimits {
+    FreshnessLimits::from_bounds(&Bounds {
         leave_within: settings.bounds.leave_within.duration(),
         config_within: settings.bounds.config_within.duration(),
         heartbeat: settings.bounds.heartbeat.duration(),
@@ -255,7 +256,7 @@
     Ok(address)
 }
 
-fn keep(keeper: &Arc<Keeper>) {
+fn keep(keeper: &Arc<LeaseKeeper>) {
     let keeper = Arc::clone(keeper);
     spawn("lease", move || {
         loop {
@@ -264,19 +265,19 @@
     });
 }
 
-fn converse(conductor: &Arc<Conductor>, socket: Arc<UdpSocket>) {
-    let rx = Arc::clone(conductor);
+fn converse(peer_node: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
+    let rx = Arc::clone(peer_node);
     spawn("peers", move || {
         if let Err(e) = rx.receive(&socket) {
             log::error!("the peers' socket failed: {e}");
         }
     });
-    let tx = Arc::clone(conductor);
-    spawn("conduct", move || tx.conduct());
-    let tx = Arc::clone(conductor);
-    spawn("crashes", move || tx.tell_crashes_on());
-    let tx = Arc::clone(conductor);
-    spawn("permits", move || tx.grant_permits_on());
+    let tx = Arc::clone(peer_node);
+    spawn("conduct", move || tx.run());
+    let tx = Arc::clone(peer_node);
+    spawn("crashes", move || tx.run_crash_reports());
+    let tx = Arc::clone(peer_node);
+    spawn("permits", move || tx.run_permit_grants());
 }
 
 /// Starts a thread that lives as long as the process.
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -4,9 +4,9 @@
 
 use tansyknot_core::clock::{BootInstant, Time};
 use tansyknot_fleet::{
-    conduct::Conductor,
     follow::{ConfigFollower, TargetFollower},
-    poison::keep::{self, PoisonKeeper},
+    peering::PeerNode,
+    poison::keeper::{self, PoisonKeeper},
     state::State,
 };
 
@@ -23,14 +23,14 @@
 pub(super) fn keep_poison(
     keeper: Arc<PoisonKeeper>,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    peer_node: &Arc<PeerNode>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("poison", move || {
         loop {
             let seen = state.poison_changed.count();
-            if keeper.step(conductor.is_planner()) {
-                state.clock.sleep(keep::RETRY);
+            if keeper.step(peer_node.is_planner()) {
+                state.clock.sleep(keeper::RETRY_INTERVAL);
                 continue;
             }
             state.poison_changed.wait(seen, POISON_LOOK);
@@ -43,28 +43,28 @@
 pub(super) fn follow_config(
     mut follower: ConfigFollower,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    peer_node: &Arc<PeerNode>,
     poison: Arc<PoisonKeeper>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("config", move || {
         while !poison.read() {
-            state.clock.sleep(keep::RETRY);
+            state.clock.sleep(keeper::RETRY_INTERVAL);
         }
         let mut was_planner = false;
         loop {
-            let is_planner = conductor.is_planner();
+            let is_planner = peer_node.is_planner();
             if is_planner && !was_planner {
-                follower.hurry();
+                follower.skip_next_wait();
             }
             was_planner = is_planner;
             if !is_planner && state.keys_fresh_for().is_zero() {
-                follower.hurry();
+                follower.skip_next_wait();
             }
             let began = state.now();
             let pause = follower.step();
             pause_calls(&state, began, pause);
-            await_config_call(&state, &conductor);
+            await_config_call(&state, &peer_node);
         }
     });
 }
@@ -74,26 +74,26 @@
 fn pause_calls(state: &State, began: Time, pause: Duration) {
     let until = state.now() + pause;
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let left = until.since(state.now());
-        let has_returned = state.contacts().returned.is_some_and(|at| at > began);
+        let has_returned = state.store_contacts().returned_at.is_some_and(|at| at > began);
         if left.is_zero() || has_returned {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
 
 /// Waits as long as the planner's news of the configuration are fresh.
-fn await_config_call(state: &State, conductor: &Conductor) {
+fn await_config_call(state: &State, peer_node: &PeerNode) {
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let mine = state.catalog().map_or(0, |c| c.version);
         let left = state.config_fresh_for(mine);
-        if conductor.is_planner() || mine == 0 || left.is_zero() {
+        if peer_node.is_planner() || mine == 0 || left.is_zero() {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
 
@@ -101,38 +101,38 @@
 pub(super) fn follow_targets(
     mut follower: TargetFollower,
     state: &Arc<State>,
-    conductor: &Arc<Conductor>,
+    peer_node: &Arc<PeerNode>,
 ) {
-    let (state, conductor) = (Arc::clone(state), Arc::clone(conductor));
+    let (state, peer_node) = (Arc::clone(state), Arc::clone(peer_node));
     spawn("targets", move || {
         let mut was_planner = false;
         loop {
-            let is_planner = conductor.is_planner();
+            let is_planner = peer_node.is_planner();
             if is_planner && !was_planner {
-                follower.read_anew();
+                follower.request_full_read();
             }
             was_planner = is_planner;
             let began = state.now();
             if !follower.step() {
                 pause_calls(&state, began, follower.pause());
-                await_list_call(&state, &conductor, Duration::ZERO);
-            } else if conductor.is_planner() {
-                pause_planner(&state, &conductor);
+                await_list_call(&state, &peer_node, Duration::ZERO);
+            } else if peer_node.is_planner() {
+                pause_planner(&state, &peer_node);
             } else {
                 // Without fresh news the list is read at the pace of a planner.
-                await_list_call(&state, &conductor, state.list_pace());
+                await_list_call(&state, &peer_node, state.list_poll_interval());
             }
         }
     });
 }
 
 /// Waits until the list is to be followed again, sooner if a load is due.
-fn pause_planner(state: &State, conductor: &Conductor) {
+fn pause_planner(state: &State, peer_node: &PeerNode) {
     let began = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
-        let pace = state.spans.list_pace;
-        let span = if conductor.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
+        let pace = state.spans.list_poll_interval;
+        let span = if peer_node.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
         let left = span.saturating_sub(began.elapsed());
         if left.is_zero() {
             return;
@@ -142,15 +142,15 @@
 }
 
 /// Waits at least for `least`, and as long as the planner's news of the list are fresh.
-fn await_list_call(state: &State, conductor: &Conductor, least: Duration) {
+fn await_list_call(state: &State, peer_node: &PeerNode, least: Duration) {
     let until = state.now() + least;
     loop {
-        let seen = state.call_due.count();
+        let seen = state.store_call_due.count();
         let now = state.now();
         let left = state.list_fresh_for(now).max(until.since(now));
-        if conductor.is_planner() || left.is_zero() {
+        if peer_node.is_planner() || left.is_zero() {
             return;
         }
-        state.call_due.wait(seen, left);
+        state.store_call_due.wait(seen, left);
     }
 }
