--- a/crates/tansyknot-fleet/src/dissemination/message.rs
+++ b/crates/tansyknot-fleet/src/dissemination/message.rs
@@ -11,12 +11,12 @@
     name::{AdapterName, ModelName, ServiceName, TargetName, ZoneName},
 };
 
-use super::{changes::ListNews, followed::Known, peers::PeerEntry};
+use super::{changes::ListUpdate, peers::PeerEntry, planner_view::ReceivedState};
 use crate::{
     access,
     backpressure::{self, message::RunSummary},
     poison::evidence::{Digest, Evidence},
-    target::{Born, Held, TargetState},
+    target::{LoadedModel, StartTime, TargetState},
 };
 
 /// The demand of one daemon for a model.
@@ -47,17 +47,17 @@
 
 /// A state of a target that precedes the list: the planner has ordered it, or received it first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetNote {
+pub struct TargetOverride {
     /// The target.
     pub target: TargetName,
     /// When the target's run started, if the target reports it.
-    pub born: Option<Born>,
+    pub started_at: Option<StartTime>,
     /// Rises with each override that a planner makes of the target.
     pub revision: u64,
     /// Whether the target accepts new requests.
     pub state: TargetState,
     /// The loaded models.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
 }
 
 /// The requests of all daemons in flight at a target.
@@ -77,13 +77,13 @@
     /// The identifier of this run of the daemon.
     pub incarnation: Arc<str>,
     /// The sequence number, which rises with each demand. Parts of a split demand have the same.
-    pub beat: u32,
+    pub seq: u32,
     /// The daemon's availability zone.
     pub zone: ZoneName,
     /// The rate of its network link in Mbit/s, if known.
     pub link_mbps: Option<u32>,
     /// What it has received of the planner's updates.
-    pub known: Known,
+    pub received: ReceivedState,
     /// Models in use.
     pub models: Vec<ModelUse>,
     /// Requests in flight at targets.
@@ -98,24 +98,24 @@
 
 /// A model that is being loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Coming {
+pub struct PendingLoad {
     /// The service.
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
     /// When the load is due, in milliseconds from the time of sending.
-    pub in_ms: u32,
+    pub due_in_ms: u32,
 }
 
-impl Coming {
+impl PendingLoad {
     /// Returns the service and model that are loaded.
     pub fn key(&self) -> (ServiceName, ModelName) {
         (self.service.clone(), self.model.clone())
     }
 
     /// Returns when the load is due, if the message was sent at `now`.
-    pub fn due(&self, now: Time) -> Time {
-        now + Duration::from_millis(self.in_ms.into())
+    pub fn due_at(&self, now: Time) -> Time {
+        now + Duration::from_millis(self.due_in_ms.into())
     }
 }
 
@@ -123,14 +123,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Extent {
     /// All loads and pending loads, which replace those of earlier updates.
-    All,
+    Full,
     /// Only those that have changed.
     Changes,
 }
 
 /// An update that the planner publishes to all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct PlannerUpdate {
     /// The planner's fencing token.
     pub fence: u64,
     /// The planner's name.
@@ -138,8 +138,8 @@
     /// The address to which demand is sent.
     pub address: SocketAddr,
     /// The sequence number, which rises with each update. Parts of a split update have the same.
-    pub beat: u32,
-    /// The extent of `coming` and `loads`.
+    pub seq: u32,
+    /// The extent of `pending_loads` and `loads`.
     pub extent: Extent,
     /// The version of the planner's row that it wrote last.
     pub lease_version: u64,
@@ -154,11 +154,11 @@
     /// How long ago the planner queried the store for it, in milliseconds.
     pub config_age_ms: u32,
     /// Changes of the list of targets, and overrides of the planner.
-    pub list: ListNews,
+    pub list: ListUpdate,
     /// A part of the list of daemons.
     pub peers: Vec<PeerEntry>,
     /// Models that are being loaded.
-    pub coming: Vec<Coming>,
+    pub pending_loads: Vec<PendingLoad>,
     /// Targets with requests in flight.
     pub loads: Vec<TargetLoad>,
     /// Backpressure signals of targets.
@@ -180,28 +180,28 @@
     /// From a daemon to the planner.
     Demand(Demand),
     /// From the planner, or a relay, to every daemon.
-    News(News),
+    Update(PlannerUpdate),
     /// From the planner to a relay.
     Forward(Forward),
     /// From any daemon to any other: evidence about requests under which targets crashed.
     Crashes(Vec<Evidence>),
     /// From a daemon to the planner with each heartbeat, where requests need keys.
-    Question(access::message::Question),
-    /// The planner's reply to a [`Message::Question`].
-    Answer(access::message::Answer),
+    UsageReport(access::message::UsageReport),
+    /// The planner's reply to a [`Message::UsageReport`].
+    UsageReply(access::message::UsageReply),
     /// From a daemon to the planner, for a request whose team has a quota.
-    Take(access::message::Take),
-    /// The planner's reply to a [`Message::Take`].
-    Taken(access::message::Taken),
+    QuotaRequest(access::message::QuotaRequest),
+    /// The planner's reply to a [`Message::QuotaRequest`].
+    QuotaReply(access::message::QuotaReply),
     /// From a daemon to all others while there is no planner: signals that it has received.
     Signals(Vec<RunSummary>),
     /// From a daemon to the one that grants permits, for a request that could go to a target with a
     /// limit.
-    PermitAsk(backpressure::message::PermitAsk),
-    /// The reply to a [`Message::PermitAsk`].
-    PermitAnswer(backpressure::message::PermitAnswer),
+    PermitQuery(backpressure::message::PermitQuery),
+    /// The reply to a [`Message::PermitQuery`].
+    PermitReply(backpressure::message::PermitReply),
     /// From a daemon to the one that grants permits: a request no longer waits for one.
-    PermitEnd(backpressure::message::PermitEnd),
+    PermitCancel(backpressure::message::PermitCancel),
 }
 
 impl Message {
@@ -210,13 +210,13 @@
     pub(super) fn split(self) -> Option<(Self, Self)> {
         match self {
             Message::Forward(_)
-            | Message::Question(_)
-            | Message::Answer(_)
-            | Message::Take(_)
-            | Message::Taken(_)
-            | Message::PermitAsk(_)
-            | Message::PermitAnswer(_)
-            | Message::PermitEnd(_) => None,
+            | Message::UsageReport(_)
+            | Message::UsageReply(_)
+            | Message::QuotaRequest(_)
+            | Message::QuotaReply(_)
+            | Message::PermitQuery(_)
+            | Message::PermitReply(_)
+            | Message::PermitCancel(_) => None,
             Message::Crashes(mut first) => {
                 let rest = first.split_off(first.len() / 2);
                 (!first.is_empty()).then_some((Message::Crashes(first), Message::Crashes(rest)))
@@ -229,9 +229,9 @@
                 let (first, rest) = demand.split()?;
                 Some((Message::Demand(first), Message::Demand(rest)))
             }
-            Message::News(update) => {
+            Message::Update(update) => {
                 let (first, rest) = update.split()?;
-                Some((Message::News(first), Message::News(rest)))
+                Some((Message::Update(first), Message::Update(rest)))
             }
         }
     }
@@ -260,18 +260,18 @@
 /// update has those with the most requests.
 const MAX_UPDATE_ENTRIES: usize = 260;
 
-impl News {
+impl PlannerUpdate {
     /// Limits the update to the targets with the most requests and the pending loads due soonest.
     pub fn trim(&mut self) {
         self.loads.sort_by_key(|load| std::cmp::Reverse(load.requests));
         self.loads.truncate(MAX_UPDATE_ENTRIES);
-        self.coming.sort_by_key(|coming| coming.in_ms);
-        self.coming.truncate(MAX_UPDATE_ENTRIES);
+        self.pending_loads.sort_by_key(|coming| coming.due_in_ms);
+        self.pending_loads.truncate(MAX_UPDATE_ENTRIES);
     }
 
     fn split(mut self) -> Option<(Self, Self)> {
         let changes = self.list.changes.len();
-        let items = changes + self.peers.len() + self.coming.len();
+        let items = changes + self.peers.len() + self.pending_loads.len();
         let items = items + self.loads.len() + self.signals.len();
         if items < 2 {
             return None;
@@ -280,10 +280,10 @@
         let list = self.list.split_off(room);
         room -= self.list.changes.len();
         let peers = split_off(&mut self.peers, &mut room);
-        let coming = split_off(&mut self.coming, &mut room);
+        let pending_loads = split_off(&mut self.pending_loads, &mut room);
         let loads = split_off(&mut self.loads, &mut room);
         let signals = split_off(&mut self.signals, &mut room);
-        let rest = Self { list, peers, coming, loads, signals, ..self.clone() };
+        let rest = Self { list, peers, pending_loads, loads, signals, ..self.clone() };
         Some((self, rest))
     }
 }
--- a/crates/tansyknot-fleet/src/fleet.rs
+++ b/crates/tansyknot-fleet/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The daemon's view of the targets, and the selection of a target for each request.
 
-mod experience;
+mod health;
 pub mod list;
 mod member;
 mod pick;
@@ -22,13 +22,13 @@
     backpressure::registry::Registry,
     dissemination::{
         changes::ChangeLog,
-        message::{Coming, InFlight, ModelUse, TargetLoad, TargetNote},
+        message::{InFlight, ModelUse, PendingLoad, TargetLoad, TargetOverride},
     },
-    spans::Spans,
+    freshness::FreshnessLimits,
     target::Target,
 };
 
-pub use list::LAPSE_GRACE;
+pub use list::EXPIRY_GRACE;
 use list::{ListState, RemovedTarget};
 use member::Member;
 
@@ -41,7 +41,7 @@
 
 /// What a request requires of a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct TargetRequirements<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model; `None` for a plain service.
@@ -49,12 +49,12 @@
     /// The adapter.
     pub adapter: Option<&'a AdapterName>,
     /// The start of the prompt that other prompts share.
-    pub prefix: Option<Prefix>,
+    pub prefix: Option<PromptPrefix>,
 }
 
 /// The start of a prompt that several requests share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Prefix {
+pub struct PromptPrefix {
     /// A hash of its last part.
     pub id: u64,
     /// The length of the whole prefix in tokens.
@@ -71,12 +71,12 @@
         /// The target.
         target: Arc<Target>,
         /// When the first target that is backing off accepts requests again, if there is one.
-        or_at: Option<Time>,
+        available_at: Option<Time>,
     },
     /// Every target that holds the model is full.
     Full,
     /// Every target that holds the model is backing off; the first accepts requests at this time.
-    Resting(Time),
+    BackingOff(Time),
     /// No target holds the model.
     NotLoaded,
     /// No target of the service accepts new work.
@@ -85,11 +85,11 @@
 
 /// Identifies a planner update, whose parts share one identifier. A newer update compares greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Whole {
+pub struct UpdateId {
     /// The planner's fencing token.
     pub fence: u64,
     /// The sequence number of the update.
-    pub beat: u32,
+    pub seq: u32,
 }
 
 /// Counts of this daemon's requests for a model.
@@ -106,13 +106,13 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     zone: Option<ZoneName>,
-    spans: Spans,
+    spans: FreshnessLimits,
     members: BTreeMap<TargetName, Member>,
     removed_targets: BTreeMap<TargetName, RemovedTarget>,
     list: ListState,
     uses: BTreeMap<UseKey, UseCounts>,
     /// The planner update from which the loads and pending loads were last taken.
-    last_update: Whole,
+    last_update: UpdateId,
     /// When models that are being loaded should be ready.
     pending_loads: HashMap<(ServiceName, ModelName), Time>,
     /// The highest number of daemons that a planner has counted.
@@ -127,20 +127,20 @@
 
 impl Fleet {
     /// Creates the view of a daemon in `zone`.
-    pub fn new(zone: ZoneName, spans: Spans) -> Self {
+    pub fn new(zone: ZoneName, spans: FreshnessLimits) -> Self {
         Self { zone: Some(zone), spans, log: ChangeLog::unread(), ..Self::default() }
     }
 
     /// Returns the highest number of daemons that a planner has counted since this daemon started;
     /// 0 if no planner has sent a number yet.
-    pub fn daemons(&self) -> usize {
+    pub fn daemon_count(&self) -> usize {
         self.daemon_count
     }
 
     /// Records the number of daemons that the planner counts. A lower number is ignored: a new
     /// planner counts from zero, and a partitioned planner counts only the daemons that it still
     /// receives messages from, while the others may still spend their shares of the retry budgets.
-    pub fn set_daemons(&mut self, daemons: usize) {
+    pub fn raise_daemon_count(&mut self, daemons: usize) {
         if daemons > self.daemon_count {
             event::FLEET_DAEMONS.emit(&[("daemons", &daemons), ("before", &self.daemon_count)]);
             self.daemon_count = daemons;
@@ -161,15 +161,15 @@
     }
 
     /// Applies an override by the planner with `fence`, if this daemon tracks the target.
-    pub fn note(&mut self, note: &TargetNote, fence: u64, now: Time) {
-        let until = now + self.spans.note;
+    pub fn apply_override(&mut self, note: &TargetOverride, fence: u64, now: Time) {
+        let until = now + self.spans.override_ttl;
         if let Some(m) = self.members.get_mut(&note.target) {
             m.set_override(note, fence, until);
         }
     }
 
     /// Returns the planner's overrides that take precedence over the list.
-    pub fn notes(&self) -> Vec<TargetNote> {
+    pub fn overrides(&self) -> Vec<TargetOverride> {
         self.members
             .values()
             .filter_map(|m| m.active_override.as_ref())
@@ -185,11 +185,11 @@
     /// Records all daemons' requests at targets and the models that are being loaded. A newer
     /// update replaces what is recorded, a further part of the newest update adds to it, and an
     /// older update is ignored.
-    pub fn note_loads(
+    pub fn apply_loads(
         &mut self,
-        update: Whole,
+        update: UpdateId,
         loads: &[TargetLoad],
-        pending_loads: &[Coming],
+        pending_loads: &[PendingLoad],
         now: Time,
     ) {
         if update < self.last_update {
@@ -200,27 +200,32 @@
             self.pending_loads.clear();
             self.members.values_mut().for_each(|m| m.other_requests = 0);
         }
-        self.note_changes(loads, pending_loads, now);
+        self.apply_load_changes(loads, pending_loads, now);
     }
 
     /// Records loads that have changed, and models that are being loaded in addition to those
     /// already recorded.
-    pub fn note_changes(&mut self, loads: &[TargetLoad], pending_loads: &[Coming], now: Time) {
+    pub fn apply_load_changes(
+        &mut self,
+        loads: &[TargetLoad],
+        pending_loads: &[PendingLoad],
+        now: Time,
+    ) {
         for load in loads {
             if let Some(m) = self.members.get_mut(&load.target) {
                 // The count includes this daemon's own requests.
                 m.other_requests = u32::from(load.requests).saturating_sub(m.own_requests());
             }
         }
-        self.pending_loads.extend(pending_loads.iter().map(|c| (c.key(), c.due(now))));
+        self.pending_loads.extend(pending_loads.iter().map(|c| (c.key(), c.due_at(now))));
     }
 
     /// Returns when the model of a request should be ready, if no target without a rate limit holds
     /// it and it is being loaded or about to be. A request that lacks only an adapter does not wait
     /// for another copy of a loaded model.
-    pub fn expected(&self, want: &Want<'_>, now: Time) -> Option<Time> {
+    pub fn pending_load_due(&self, want: &TargetRequirements<'_>, now: Time) -> Option<Time> {
         let model = want.model?;
-        let is_open = |m: &Member| self.limit(m.run).is_none();
+        let is_open = |m: &Member| self.rate_limit(m.run).is_none();
         if self.ready(want, now).any(|m| m.target.holds(model, None) && is_open(m)) {
             return None;
         }
@@ -238,7 +243,7 @@
     }
 
     /// Counts a request that has arrived.
-    pub fn arrived(&mut self, want: &Want<'_>, now: Time) {
+    pub fn count_arrival(&mut self, want: &TargetRequirements<'_>, now: Time) {
         for key in use_keys(want) {
             let u = self.uses.entry(key).or_default();
             u.arrived += 1;
@@ -247,7 +252,7 @@
     }
 
     /// Counts a request that starts to wait for a load.
-    pub fn begin_waiting(&mut self, want: &Want<'_>, now: Time) {
+    pub fn begin_waiting(&mut self, want: &TargetRequirements<'_>, now: Time) {
         let Some(key) = use_keys(want).pop() else { return };
         let u = self.uses.entry(key).or_default();
         u.waiting += 1;
@@ -255,7 +260,7 @@
     }
 
     /// Removes a request that no longer waits for a load from the count.
-    pub fn end_waiting(&mut self, want: &Want<'_>) {
+    pub fn end_waiting(&mut self, want: &TargetRequirements<'_>) {
         let Some(key) = use_keys(want).pop() else { return };
         if let Some(u) = self.uses.get_mut(&key) {
             u.waiting = u.waiting.saturating_sub(1);
@@ -263,7 +268,7 @@
     }
 
     /// Returns the models that this daemon's requests wait for or have recently used.
-    pub fn uses(&self, now: Time) -> Vec<ModelUse> {
+    pub fn model_uses(&self, now: Time) -> Vec<ModelUse> {
         let to_model_use = |((service, model, adapter), u): (&UseKey, &UseCounts)| ModelUse {
             service: service.clone(),
             model: model.clone(),
@@ -289,7 +294,7 @@
     }
 
     /// Removes a request that [`Fleet::pick`] counted at a target from the count.
-    pub fn leave(&mut self, target: &TargetName, model: Option<&ModelName>) {
+    pub fn end_request(&mut self, target: &TargetName, model: Option<&ModelName>) {
         let Some(m) = self.members.get_mut(target) else { return };
         let Some(count) = m.in_flight.get_mut(&model.cloned()) else { return };
         *count = count.saturating_sub(1);
@@ -299,7 +304,7 @@
     }
 }
 
-fn use_keys(want: &Want<'_>) -> Vec<UseKey> {
+fn use_keys(want: &TargetRequirements<'_>) -> Vec<UseKey> {
     let Some(model) = want.model else { return Vec::new() };
     let key =
         |adapter: Option<&AdapterName>| (want.service.clone(), model.clone(), adapter.cloned());
--- a/crates/tansyknot-fleet/src/fleet/member.rs
+++ b/crates/tansyknot-fleet/src/fleet/member.rs
@@ -7,10 +7,10 @@
     name::{AdapterName, ModelName},
 };
 
-use super::Want;
+use super::TargetRequirements;
 use crate::{
     backpressure::Interval,
-    dissemination::message::TargetNote,
+    dissemination::message::TargetOverride,
     poison::key::RunKey,
     target::{self, Target, TargetState},
 };
@@ -64,7 +64,7 @@
 /// An override by the planner, which takes precedence over the list.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveOverride {
-    pub(super) target_override: TargetNote,
+    pub(super) target_override: TargetOverride,
     pub(super) fence: u64,
     pub(super) until: Time,
 }
@@ -95,7 +95,7 @@
     /// Applies a newer entry of the list. The entry of another run resets all that was observed,
     /// except for this daemon's requests there, which end by themselves.
     pub(super) fn set_entry(&mut self, entry: Target, now: Time) {
-        if !target::may_be_same_run(self.entry.born, entry.born) {
+        if !target::may_be_same_run(self.entry.started_at, entry.started_at) {
             let (in_flight, logged_state) =
                 (std::mem::take(&mut self.in_flight), self.logged_state);
             *self = Self { in_flight, logged_state, ..Self::new(entry) };
@@ -103,7 +103,7 @@
         }
         // An entry written before the target began to drain does not cancel an override to
         // draining.
-        let agrees = |o: &TargetNote| o.models == entry.models && o.state == entry.state;
+        let agrees = |o: &TargetOverride| o.models == entry.models && o.state == entry.state;
         let is_obsolete = |o: &ActiveOverride| now >= o.until || agrees(&o.target_override);
         self.active_override.take_if(|o| is_obsolete(o));
         self.entry = Arc::new(entry);
@@ -114,11 +114,17 @@
 
     /// Applies an override by the planner with `fence`, which takes precedence over the list until
     /// `until`.
-    pub(super) fn set_override(&mut self, target_override: &TargetNote, fence: u64, until: Time) {
+    pub(super) fn set_override(
+        &mut self,
+        target_override: &TargetOverride,
+        fence: u64,
+        until: Time,
+    ) {
         let is_newer = |o: &ActiveOverride| {
             (o.fence, o.target_override.revision) > (fence, target_override.revision)
         };
-        let is_of_this_run = target::may_be_same_run(self.entry.born, target_override.born);
+        let is_of_this_run =
+            target::may_be_same_run(self.entry.started_at, target_override.started_at);
         if !is_of_this_run || self.active_override.as_ref().is_some_and(is_newer) {
             return;
         }
@@ -177,7 +183,7 @@
         self.in_flight.values().map(|n| u32::from(*n)).sum()
     }
 
-    pub(super) fn is_missing(&self, want: &Want<'_>, now: Time) -> bool {
+    pub(super) fn is_missing(&self, want: &TargetRequirements<'_>, now: Time) -> bool {
         let Some(model) = want.model else { return false };
         let is_recent = |adapter: Option<&AdapterName>| {
             let key = (model.clone(), adapter.cloned());
@@ -186,7 +192,7 @@
         is_recent(None) || (want.adapter.is_some() && is_recent(want.adapter))
     }
 
-    pub(super) fn holds(&self, want: &Want<'_>) -> bool {
+    pub(super) fn holds(&self, want: &TargetRequirements<'_>) -> bool {
         want.model.is_none_or(|m| self.target.holds(m, want.adapter))
     }
 
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -8,11 +8,11 @@
 };
 use tansyknot_fleet::{
     dissemination::{
-        followed::Known,
         message::{Demand, InFlight, ModelUse},
+        planner_view::ReceivedState,
     },
-    outside::Action,
     plan::{Planner, Task},
+    platform_api::Action,
     target::Target,
 };
 
@@ -57,17 +57,17 @@
         let demand = Demand {
             daemon: daemon.into(),
             incarnation: "run-1".into(),
-            beat: self.beat,
+            seq: self.beat,
             zone: "z1".into(),
             link_mbps: None,
-            known: Known::default(),
+            received: ReceivedState::default(),
             models: uses.to_vec(),
             in_flight,
             poison: Default::default(),
             crashes: Vec::new(),
             signals: Vec::new(),
         };
-        self.planner.hear(demand, self.now);
+        self.planner.record_demand(demand, self.now);
     }
 
     pub(crate) fn plan(&mut self) -> Vec<Task> {
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -9,10 +9,10 @@
 };
 use tansyknot_fleet::{
     backpressure::{
-        Outcome, PermitRequest, Permits, Said, Signals,
+        Outcome, PermitRequest, Permits, SignalField, Signals,
         pending::{Permit, Progress},
     },
-    fleet::{Pick, Want},
+    fleet::{Pick, TargetRequirements},
     poison::key::RunKey,
     target::Target,
 };
@@ -126,22 +126,27 @@
     pub(super) fn find_target(&mut self, req: &mut Request, now: Time) -> Found {
         let state = Arc::clone(&self.network.nodes[req.daemon].state);
         let service = ServiceName::from("s");
-        let want = Want { service: &service, model: Some(&req.model), adapter: None, prefix: None };
+        let want = TargetRequirements {
+            service: &service,
+            model: Some(&req.model),
+            adapter: None,
+            prefix: None,
+        };
         let pick = state.fleet().pick(&want, &req.tried, now, &mut self.rng);
         let found = match pick {
             Pick::Target(target) => Found::Target(target),
-            Pick::Limited { target, or_at } => match self.turn(req, &target, now) {
+            Pick::Limited { target, available_at } => match self.turn(req, &target, now) {
                 Progress::Granted(permit) => {
                     req.permit = Some(permit);
-                    state.fleet().enter(&target.name, Some(&req.model), now);
+                    state.fleet().begin_request(&target.name, Some(&req.model), now);
                     Found::Target(target)
                 }
                 Progress::Waiting { expected: Some(at) }
-                    if at > req.until && or_at.is_none_or(|at| at > req.until) =>
+                    if at > req.until && available_at.is_none_or(|at| at > req.until) =>
                 {
                     Found::InVain
                 }
-                Progress::Waiting { .. } | Progress::AskDue => return Found::Nothing,
+                Progress::Waiting { .. } | Progress::SendDue => return Found::Nothing,
             },
             _ => Found::Nothing,
         };
@@ -157,9 +162,9 @@
         }
         let (number, _) = *req.asking.get_or_insert_with(|| (node.state.permits().begin(run), run));
         let progress = node.state.permits().progress(number, now);
-        if progress == Progress::AskDue {
+        if progress == Progress::SendDue {
             let (priority, left) = (req.priority, req.until.since(now));
-            node.conductor.ask(PermitRequest { number, run, priority, left });
+            node.conductor.request(PermitRequest { number, run, priority, left });
         }
         node.state.permits().progress(number, now)
     }
@@ -169,15 +174,16 @@
         let node = &self.network.nodes[req.daemon];
         let is_unanswered = node.state.permits().end(number);
         if is_unanswered {
-            node.conductor.end(number, run);
+            node.conductor.cancel(number, run);
         }
     }
 
     pub(super) fn give_up(&mut self, req: &mut Request, now: Time) {
         self.end_asking(req);
         let fleet = self.network.nodes[req.daemon].state.fleet();
-        let is_listed =
-            |entry: &Target| fleet.target(&entry.name).is_some_and(|t| t.born == entry.born);
+        let is_listed = |entry: &Target| {
+            fleet.target(&entry.name).is_some_and(|t| t.started_at == entry.started_at)
+        };
         let is_sound =
             |a: &&Actor| a.is_sound(now) && a.entry.holds(&req.model, None) && is_listed(&a.entry);
         let sound = self.actors.iter().find(is_sound);
@@ -238,14 +244,14 @@
                 let mut signals = actor.signals();
                 let mut outcome = Outcome::Ran;
                 if now < actor.rests_until {
-                    signals.rest = Said::Value(actor.rests_until.since(now));
+                    signals.retry_delay = SignalField::Value(actor.rests_until.since(now));
                     outcome = Outcome::NotRun;
                 }
                 if self.rng.random_bool(self.troubles.garbled) {
-                    signals.limit = Said::Malformed;
+                    signals.limit = SignalField::Malformed;
                 }
                 if self.rng.random_bool(self.troubles.garbled) {
-                    signals.leaving = Said::Malformed;
+                    signals.leaving = SignalField::Malformed;
                 }
                 flight.stage = Stage::Answered(signals, outcome, now);
                 flight.next_at = now + self.span(1..150);
@@ -263,14 +269,14 @@
     /// The target is not there any more.
     pub(super) fn unreachable(&mut self, mut flight: Flight, now: Time) {
         let state = &self.network.nodes[flight.req.daemon].state;
-        state.fleet().unreachable(&flight.target.name, now);
+        state.fleet().record_unreachable(&flight.target.name, now);
         flight.req.tried.push(flight.target.name.clone());
         self.look_again(flight, now);
     }
 
     pub(super) fn look_again(&mut self, flight: Flight, now: Time) {
         let Flight { req, target, .. } = flight;
-        self.network.nodes[req.daemon].state.fleet().leave(&target.name, Some(&req.model));
+        self.network.nodes[req.daemon].state.fleet().end_request(&target.name, Some(&req.model));
         self.waiting.push(Request { permit: None, look_at: now, ..req });
     }
 }
