--- a/crates/tansyknot-cli/src/command.rs
+++ b/crates/tansyknot-cli/src/command.rs
@@ -2,10 +2,10 @@
 
 pub(crate) mod apply;
 pub(crate) mod ask;
-pub(crate) mod cause;
 pub(crate) mod completions;
 pub(crate) mod daemons;
 pub(crate) mod explain;
+pub(crate) mod explain_logs;
 pub(crate) mod get;
 pub(crate) mod history;
 pub(crate) mod key;
--- a/crates/tansyknot-cli/src/command/apply.rs
+++ b/crates/tansyknot-cli/src/command/apply.rs
@@ -10,7 +10,7 @@
 use miette::{IntoDiagnostic, WrapErr};
 use serde::Serialize;
 use serde_json::Value;
-use tansyknot_config::{document, object::Object, store::Op};
+use tansyknot_config::{document, object::Object, objects_in_force::ObjectChange};
 use tansyknot_control::config::{self, ApplyError, Author};
 use tansyknot_platform::table::HttpTable;
 
@@ -65,7 +65,7 @@
         if !key.contains('/') {
             return Err(Failure::BadKey { key: key.clone() }.into());
         }
-        ops.push(Op::Delete(key.clone()));
+        ops.push(ObjectChange::Delete(key.clone()));
     }
     apply_ops(global, &table, head.version, &ops, &args.author, args.wait)
 }
@@ -99,7 +99,7 @@
     global: &GlobalArgs,
     table: &HttpTable,
     base: u64,
-    ops: &[Op],
+    ops: &[ObjectChange],
     author: &str,
     wait_s: u64,
 ) -> miette::Result<ExitCode> {
@@ -115,7 +115,7 @@
         };
     }
     let in_force = wait_until_in_force(table, version, Duration::from_secs(wait_s))?;
-    let changes = ops.iter().map(Op::key).collect();
+    let changes = ops.iter().map(ObjectChange::key).collect();
     let applied = Applied { version, changes, in_force };
     let rows = applied.in_force.iter().map(|f| {
         let after = f.after_ms.map_or("not yet".to_owned(), |ms| format!("{ms} ms"));
--- a/crates/tansyknot-cli/src/command/cause.rs
+++ b/crates/tansyknot-cli/src/command/explain_logs.rs
@@ -9,7 +9,7 @@
 use crate::{
     args::{GlobalArgs, Output},
     exit::Failure,
-    line::{self, Line},
+    log_line::{self, Line},
     output,
 };
 
@@ -51,7 +51,7 @@
     request: &str,
     files: &[PathBuf],
 ) -> miette::Result<ExitCode> {
-    let lines = line::read(files)?;
+    let lines = log_line::read(files)?;
     let is_request_line =
         |l: &&Line| REQUEST_EVENTS.contains(&l.event) && l.field("request") == request;
     let Some(line) = lines.iter().find(is_request_line) else {
--- a/crates/tansyknot-cli/src/command/key.rs
+++ b/crates/tansyknot-cli/src/command/key.rs
@@ -2,13 +2,13 @@
 
 use std::process::ExitCode;
 
-use tansyknot_config::store;
+use tansyknot_config::objects_in_force;
 use tansyknot_core::name;
 
 /// Runs `key`.
 pub(crate) fn run() -> miette::Result<ExitCode> {
     let key = format!("tk-{}", name::random_id());
     println!("key:        {key}");
-    println!("key_sha256: {}", store::key_hash(&key));
+    println!("key_sha256: {}", objects_in_force::key_hash(&key));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/tansyknot-cli/src/command/logs.rs
+++ b/crates/tansyknot-cli/src/command/logs.rs
@@ -4,13 +4,13 @@
 
 use crate::{
     args::{GlobalArgs, LogsArgs},
-    line::{self, Line},
+    log_line::{self, Line},
     output,
 };
 
 /// Runs `logs`.
 pub(crate) fn run(global: &GlobalArgs, args: &LogsArgs) -> miette::Result<ExitCode> {
-    let lines = line::read(&args.files)?;
+    let lines = log_line::read(&args.files)?;
     let found: Vec<&Line> = lines.iter().filter(|line| matches_filter(line, args)).collect();
     let rows = found.iter().map(|line| {
         let event = if line.event == 0 { String::new() } else { line.event.to_string() };
--- a/crates/tansyknot-cli/src/main.rs
+++ b/crates/tansyknot-cli/src/main.rs
@@ -3,7 +3,7 @@
 mod args;
 mod command;
 mod exit;
-mod line;
+mod log_line;
 mod output;
 
 use std::process::ExitCode;
@@ -33,7 +33,7 @@
         Command::History(a) => command::history::run(global, a),
         Command::Status(a) => command::status::run(global, a),
         Command::Explain(a) if a.logs.is_empty() => command::explain::run(global, a),
-        Command::Explain(a) => command::cause::run(global, &a.request, &a.logs),
+        Command::Explain(a) => command::explain_logs::run(global, &a.request, &a.logs),
         Command::Logs(a) => command::logs::run(global, a),
         Command::Settings(SettingsCommand::Check(a)) => command::settings::check(a),
         Command::Key => command::key::run(),
--- a/crates/tansyknot-cli/tests/commands.rs
+++ b/crates/tansyknot-cli/tests/commands.rs
@@ -7,13 +7,13 @@
     process::{Command, Output},
 };
 
-use tansyknot_standins::{server::Running, table};
+use tansyknot_standins::{server::RunningServer, table};
 use yare::parameterized;
 
 const OBJECTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/settings/objects.yaml");
 const SETTINGS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/settings/daemon.yaml");
 
-fn start_table() -> Running {
+fn start_table() -> RunningServer {
     let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
     table::start(loopback).expect("a port is free").0
 }
@@ -103,6 +103,6 @@
         let line = output.lines().find(|l| l.starts_with(name)).expect("the line is there");
         line.split_whitespace().last().expect("the line has a value").to_owned()
     };
-    let hash = tansyknot_config::store::key_hash(&value("key:"));
+    let hash = tansyknot_config::objects_in_force::key_hash(&value("key:"));
     assert_eq!(value("key_sha256:"), hash);
 }
--- a/crates/tansyknot-config/src/fleet.rs
+++ b/crates/tansyknot-config/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     settings::LogLevel,
-    unit::{DurationSetting, NonNegative, Period},
+    unit::{DurationSetting, NonNegative, PositiveDuration},
     yaml,
 };
 
@@ -81,14 +81,14 @@
     pub stop_grace: DurationSetting,
     /// The time after which every daemon must reject a revoked key.
     #[serde(default)]
-    pub revoke_within: Option<Period>,
+    pub revoke_within: Option<PositiveDuration>,
     /// Whether that bound also applies to daemons that can't receive revocations. Such daemons then
     /// reject keys.
     #[serde(default)]
     pub revoke_fail_closed: bool,
     /// The window in which teams' quotas are counted.
     #[serde(default = "quota_window")]
-    pub quota_window: Period,
+    pub quota_window: PositiveDuration,
     /// What all daemons together may admit beyond a quota, as a fraction of the quota.
     #[serde(default = "quota_overshoot")]
     pub quota_overshoot: NonNegative,
@@ -97,8 +97,8 @@
     pub quota_slack: NonNegative,
 }
 
-fn quota_window() -> Period {
-    Period::from_millis(8000)
+fn quota_window() -> PositiveDuration {
+    PositiveDuration::from_millis(8000)
 }
 
 fn quota_overshoot() -> NonNegative {
--- a/crates/tansyknot-config/src/lib.rs
+++ b/crates/tansyknot-config/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod document;
 pub mod fleet;
 pub mod object;
+pub mod objects_in_force;
 pub mod settings;
-pub mod store;
 pub mod unit;
 pub mod yaml;
--- a/crates/tansyknot-config/src/object.rs
+++ b/crates/tansyknot-config/src/object.rs
@@ -110,7 +110,7 @@
 /// Which goal has priority where cold starts and idle accelerators conflict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Weight {
+pub enum RetentionGoal {
     /// Short cold starts in the tail of the latency distribution.
     #[default]
     Cold,
@@ -123,7 +123,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Retention {
     /// Which goal has priority.
-    pub weight: Weight,
+    pub weight: RetentionGoal,
     /// The minimum time that an unused replica stays loaded.
     pub at_least: DurationSetting,
     /// The maximum time that an unused replica stays loaded.
@@ -133,7 +133,7 @@
 impl Default for Retention {
     fn default() -> Self {
         Self {
-            weight: Weight::Cold,
+            weight: RetentionGoal::Cold,
             at_least: DurationSetting::from_secs(10),
             at_most: DurationSetting::from_secs(3600),
         }
@@ -145,7 +145,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Class {
+pub enum RequestClass {
     /// An interactive request: a person waits for the response.
     #[default]
     Desk,
@@ -167,7 +167,7 @@
 /// Whether at-most-once requests must have an `Idempotency-Key` header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum KeyDemand {
+pub enum KeyRequirement {
     /// A request without a key is a separate request.
     #[default]
     Optional,
@@ -180,7 +180,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
     /// The priority class.
-    pub class: Class,
+    pub class: RequestClass,
     /// The deadline of a request that has none.
     pub deadline: DurationSetting,
     /// The maximum of requests in flight from one daemon to one replica or plain target.
@@ -188,17 +188,17 @@
     /// Whether a request may be executed more than once.
     pub repeatability: Repeatability,
     /// Whether an idempotency key is required.
-    pub idempotency_key: KeyDemand,
+    pub idempotency_key: KeyRequirement,
 }
 
 impl Default for Requests {
     fn default() -> Self {
         Self {
-            class: Class::Desk,
+            class: RequestClass::Desk,
             deadline: DurationSetting::from_secs(60),
             in_flight_per_replica: 64,
             repeatability: Repeatability::Repeatable,
-            idempotency_key: KeyDemand::Optional,
+            idempotency_key: KeyRequirement::Optional,
         }
     }
 }
--- a/crates/tansyknot-config/src/store.rs
+++ b/crates/tansyknot-config/src/objects_in_force.rs
@@ -16,7 +16,7 @@
 
 /// An object and the version that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredObject {
     /// The version that last changed the object.
     pub version: ConfigVersion,
     /// The object.
@@ -26,19 +26,19 @@
 /// A change of one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Op {
+pub enum ObjectChange {
     /// Adds or replaces an object.
     Put(Object),
     /// Removes an object.
     Delete(ObjectKey),
 }
 
-impl Op {
+impl ObjectChange {
     /// Returns the kind and name of the object that changes.
     pub fn key(&self) -> ObjectKey {
         match self {
-            Op::Put(object) => object.key(),
-            Op::Delete(key) => key.clone(),
+            ObjectChange::Put(object) => object.key(),
+            ObjectChange::Delete(key) => key.clone(),
         }
     }
 }
@@ -56,7 +56,7 @@
 
 /// The objects in force.
 #[derive(Clone, Debug, Default)]
-pub struct Store {
+pub struct ConfigObjects {
     version: ConfigVersion,
     digest: u64,
     services: BTreeMap<ServiceName, (ConfigVersion, Service)>,
@@ -75,7 +75,7 @@
     KeyDigest::of(key).hex()
 }
 
-impl Store {
+impl ConfigObjects {
     /// Returns the version in force, or zero if there is none yet.
     pub fn version(&self) -> ConfigVersion {
         self.version
@@ -93,7 +93,7 @@
 
     /// Applies a change made in `version`, unless the object has a change of the same or a later
     /// version.
-    pub fn apply(&mut self, op: &Op, version: ConfigVersion) {
+    pub fn apply(&mut self, op: &ObjectChange, version: ConfigVersion) {
         let key = op.key();
         let current = self.object_version(&key);
         if current.is_some_and(|c| c >= version) {
@@ -103,11 +103,11 @@
             self.digest ^= object_digest(&key, current);
         }
         match op {
-            Op::Put(object) => {
+            ObjectChange::Put(object) => {
                 self.digest ^= object_digest(&key, version);
                 self.insert(object.clone(), version);
             }
-            Op::Delete(key) => self.remove(key),
+            ObjectChange::Delete(key) => self.remove(key),
         }
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// Returns all objects with their versions, in the order of kinds and names.
-    pub fn objects(&self) -> Vec<Stored> {
-        let stored = |version: &ConfigVersion, object| Stored { version: *version, object };
+    pub fn objects(&self) -> Vec<StoredObject> {
+        let stored = |version: &ConfigVersion, object| StoredObject { version: *version, object };
         let services = self.services.values().map(|(v, s)| stored(v, Object::Service(s.clone())));
         let adapters = self.adapters.iter().map(|(name, (v, service))| {
             let adapter = Adapter { name: name.clone(), service: service.clone() };
--- a/crates/tansyknot-config/src/unit.rs
+++ b/crates/tansyknot-config/src/unit.rs
@@ -142,9 +142,9 @@
 /// A duration that is greater than zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Period(DurationSetting);
+pub struct PositiveDuration(DurationSetting);
 
-impl Period {
+impl PositiveDuration {
     /// Creates a period of `ms` milliseconds, at least 1 ms.
     pub fn from_millis(ms: u64) -> Self {
         Self(DurationSetting::from_millis(ms.max(1)))
@@ -156,24 +156,28 @@
     }
 }
 
-impl TryFrom<String> for Period {
-    type Error = PeriodError;
+impl TryFrom<String> for PositiveDuration {
+    type Error = PositiveDurationError;
 
-    fn try_from(text: String) -> Result<Self, PeriodError> {
+    fn try_from(text: String) -> Result<Self, PositiveDurationError> {
         let duration = DurationSetting::try_from(text)?;
-        if duration.duration().is_zero() { Err(PeriodError::Zero) } else { Ok(Self(duration)) }
+        if duration.duration().is_zero() {
+            Err(PositiveDurationError::Zero)
+        } else {
+            Ok(Self(duration))
+        }
     }
 }
 
-impl From<Period> for String {
-    fn from(period: Period) -> Self {
+impl From<PositiveDuration> for String {
+    fn from(period: PositiveDuration) -> Self {
         period.0.into()
     }
 }
 
 /// An error in the text of a period.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum PeriodError {
+pub enum PositiveDurationError {
     /// The text is not a duration.
     #[error(transparent)]
     Unit(#[from] UnitError),
--- a/crates/tansyknot-config/tests/store.rs
+++ b/crates/tansyknot-config/tests/store.rs
@@ -4,7 +4,7 @@
 use tansyknot_config::{
     document,
     object::Object,
-    store::{Op, Store},
+    objects_in_force::{ConfigObjects, ObjectChange},
 };
 use yare::parameterized;
 
@@ -12,10 +12,10 @@
     document::read(text, "test").expect("the objects are valid")
 }
 
-fn store(text: &str) -> Store {
-    let mut store = Store::default();
+fn store(text: &str) -> ConfigObjects {
+    let mut store = ConfigObjects::default();
     for object in objects(text) {
-        store.apply(&Op::Put(object), 1);
+        store.apply(&ObjectChange::Put(object), 1);
     }
     store
 }
@@ -44,17 +44,17 @@
 fn new_key_of_a_caller_replaces_the_old_one() {
     let caller = |hash: &str| format!("kind: caller\nname: c\nkey_sha256: {}\n", hash.repeat(64));
     let mut store = store(&caller("a"));
-    store.apply(&Op::Put(objects(&caller("b")).remove(0)), 2);
+    store.apply(&ObjectChange::Put(objects(&caller("b")).remove(0)), 2);
     assert!(store.caller(&"a".repeat(64)).is_none());
     assert!(store.caller(&"b".repeat(64)).is_some());
 }
 
-fn op_from_number(i: u8) -> Op {
+fn op_from_number(i: u8) -> ObjectChange {
     let text = format!("kind: adapter\nname: a{}\nservice: s{}\n", i % 4, i);
     if i.is_multiple_of(5) {
-        Op::Delete(format!("adapter/a{}", i % 4))
+        ObjectChange::Delete(format!("adapter/a{}", i % 4))
     } else {
-        Op::Put(objects(&text).remove(0))
+        ObjectChange::Put(objects(&text).remove(0))
     }
 }
 
@@ -69,14 +69,14 @@
     /// a later version.
     #[test]
     fn older_puts_never_undo_later_ones(changes in prop::collection::vec(1_u8..100, 1..40)) {
-        let mut expected = Store::default();
+        let mut expected = ConfigObjects::default();
         for (version, i) in changes.iter().enumerate() {
             expected.apply(&op_from_number(*i), version as u64 + 1);
         }
         let mut repeated = expected.clone();
         for stored in expected.objects() {
             for version in 1..=stored.version {
-                repeated.apply(&Op::Put(stored.object.clone()), version);
+                repeated.apply(&ObjectChange::Put(stored.object.clone()), version);
             }
         }
         prop_assert_eq!(repeated.digest(), expected.digest());
@@ -86,20 +86,20 @@
     /// The digest depends on the set of objects and versions only, not on the order of changes.
     #[test]
     fn digest_is_independent_of_order(changes in prop::collection::vec(1_u8..100, 1..40)) {
-        let mut expected = Store::default();
+        let mut expected = ConfigObjects::default();
         for (version, i) in changes.iter().enumerate() {
             expected.apply(&op_from_number(*i), version as u64 + 1);
         }
-        let mut rebuilt = Store::default();
+        let mut rebuilt = ConfigObjects::default();
         for stored in expected.objects().into_iter().rev() {
-            rebuilt.apply(&Op::Put(stored.object), stored.version);
+            rebuilt.apply(&ObjectChange::Put(stored.object), stored.version);
         }
         prop_assert_eq!(rebuilt.digest(), expected.digest());
     }
 
     #[test]
     fn version_only_rises(versions in prop::collection::vec(any::<u64>(), 1..20)) {
-        let mut store = Store::default();
+        let mut store = ConfigObjects::default();
         let mut highest = 0;
         for version in versions {
             store.raise_version(version);
--- a/crates/tansyknot-control/src/config.rs
+++ b/crates/tansyknot-control/src/config.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tansyknot_config::{
     object::Object,
-    store::{self, ConfigVersion, Op, Store, Stored},
+    objects_in_force::{self, ConfigObjects, ConfigVersion, ObjectChange, StoredObject},
 };
 use tansyknot_core::{
     Error, Result, event, name,
@@ -19,7 +19,7 @@
 pub const HEAD_KEY: &str = "config/head";
 /// The key prefix of [`Change`]s.
 pub const CHANGE_PREFIX: &str = "config/change/";
-/// The key prefix of [`Stored`] objects.
+/// The key prefix of [`StoredObject`] objects.
 pub const OBJECT_PREFIX: &str = "config/object/";
 
 /// The most object changes in one version.
@@ -52,7 +52,7 @@
     /// When the change was made, in milliseconds since the Unix epoch by the author's clock.
     pub at_ms: u64,
     /// The changes of objects.
-    pub ops: Vec<Op>,
+    pub ops: Vec<ObjectChange>,
 }
 
 /// Why a change was not accepted.
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// Fails if the table does.
-pub fn read_objects(table: &dyn Table) -> Result<Vec<Stored>> {
+pub fn read_objects(table: &dyn Table) -> Result<Vec<StoredObject>> {
     let mut objects = Vec::new();
     scan_all(table, OBJECT_PREFIX, |row| {
         objects.push(row::decode(&row)?);
@@ -139,7 +139,7 @@
 pub fn apply(
     table: &dyn Table,
     base: ConfigVersion,
-    ops: &[Op],
+    ops: &[ObjectChange],
     author: &Author,
 ) -> std::result::Result<ConfigVersion, ApplyError> {
     if ops.len() > MAX_OPS {
@@ -167,7 +167,7 @@
     table: &dyn Table,
     head: &Head,
     head_row: RowVersion,
-    ops: &[Op],
+    ops: &[ObjectChange],
     author: &Author,
     token: &str,
 ) -> Result<Transaction> {
@@ -179,22 +179,22 @@
         let row_key = object_row_key(&key);
         let old = table.read(&row_key)?;
         if let Some(row) = &old {
-            let stored: Stored = row::decode(row)?;
-            digest ^= store::object_digest(&key, stored.version);
+            let stored: StoredObject = row::decode(row)?;
+            digest ^= objects_in_force::object_digest(&key, stored.version);
         }
         let row_version = old.map_or(ABSENT, |row| row.version);
         txn = match op {
-            Op::Put(object) => {
-                digest ^= store::object_digest(&key, version);
+            ObjectChange::Put(object) => {
+                digest ^= objects_in_force::object_digest(&key, version);
                 txn.put(
                     row_key,
                     row_version,
-                    row::encode(&Stored { version, object: object.clone() }),
+                    row::encode(&StoredObject { version, object: object.clone() }),
                 )
             }
             // Deleting a missing object writes nothing, but its absence is still a condition.
-            Op::Delete(_) if row_version == ABSENT => txn.check(row_key, ABSENT),
-            Op::Delete(_) => txn.delete(row_key, row_version),
+            ObjectChange::Delete(_) if row_version == ABSENT => txn.check(row_key, ABSENT),
+            ObjectChange::Delete(_) => txn.delete(row_key, row_version),
         };
     }
     let change =
@@ -208,15 +208,15 @@
 }
 
 /// Returns the puts that bring `current` to `wanted`; objects not in `wanted` are not deleted.
-pub fn difference(current: &[Stored], wanted: &[Object]) -> Vec<Op> {
+pub fn difference(current: &[StoredObject], wanted: &[Object]) -> Vec<ObjectChange> {
     let same = |object: &Object| current.iter().any(|stored| stored.object == *object);
-    wanted.iter().filter(|object| !same(object)).cloned().map(Op::Put).collect()
+    wanted.iter().filter(|object| !same(object)).cloned().map(ObjectChange::Put).collect()
 }
 
 /// The configuration in force at this daemon, which follows the table.
 #[derive(Debug, Default)]
 pub struct ConfigView {
-    store: RwLock<Store>,
+    store: RwLock<ConfigObjects>,
     head_row: RwLock<RowVersion>,
 }
 
@@ -236,13 +236,13 @@
 
 impl ConfigView {
     /// Calls `f` with the configuration in force.
-    pub fn with<T>(&self, f: impl FnOnce(&Store) -> T) -> T {
+    pub fn with<T>(&self, f: impl FnOnce(&ConfigObjects) -> T) -> T {
         f(&self.store.read().expect("no holder of the lock panics"))
     }
 
     /// Returns the version in force, or zero before the first.
     pub fn version(&self) -> ConfigVersion {
-        self.with(Store::version)
+        self.with(ConfigObjects::version)
     }
 
     /// Returns the row version of the head that the configuration in force was read with.
@@ -268,7 +268,7 @@
         if current == 0 && !is_newest(table, head_row)? {
             return Ok(Followed::OlderIgnored(head.version));
         }
-        let digest = self.with(Store::digest);
+        let digest = self.with(ConfigObjects::digest);
         if head.version == current && head.digest == digest {
             self.set_head_row(head_row);
             return Ok(Followed::Unchanged);
@@ -338,14 +338,14 @@
         if self.version() > 0 {
             event::CONFIG_RELOADED.emit(&[("version", &head.version)]);
         }
-        let mut fresh = Store::default();
+        let mut fresh = ConfigObjects::default();
         for stored in read_objects(table)? {
-            fresh.apply(&Op::Put(stored.object), stored.version);
+            fresh.apply(&ObjectChange::Put(stored.object), stored.version);
         }
         Ok(self.install(fresh, head))
     }
 
-    fn install(&self, mut store: Store, head: &Head) -> bool {
+    fn install(&self, mut store: ConfigObjects, head: &Head) -> bool {
         if store.digest() != head.digest {
             return false;
         }
@@ -363,7 +363,7 @@
 ///
 /// A configuration with a wrong digest must never be in force, and applying the changes to a copy
 /// would cost time and memory.
-fn digest_after(store: &Store, changes: &[Change]) -> u64 {
+fn digest_after(store: &ConfigObjects, changes: &[Change]) -> u64 {
     let mut digest = store.digest();
     let mut changed_versions: HashMap<String, Option<ConfigVersion>> = HashMap::new();
     for change in changes {
@@ -374,9 +374,9 @@
             if old.is_some_and(|old| old >= change.version) {
                 continue;
             }
-            let new = matches!(op, Op::Put(_)).then_some(change.version);
+            let new = matches!(op, ObjectChange::Put(_)).then_some(change.version);
             for version in old.into_iter().chain(new) {
-                digest ^= store::object_digest(&key, version);
+                digest ^= objects_in_force::object_digest(&key, version);
             }
             changed_versions.insert(key, new);
         }
--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -141,7 +141,7 @@
         let Some(entry) = self.entry(service) else { return };
         let granted = {
             let mut entry = entry.lock().expect("no holder of the lock panics");
-            entry.pool.leave(ticket);
+            entry.pool.cancel(ticket);
             entry.signals.remove(&ticket);
             rx.recv_timeout(Duration::ZERO)
         };
@@ -189,10 +189,10 @@
     }
 
     /// Returns whether a service has an open target that is not in `avoid`.
-    pub fn has_upstream_besides(&self, service: &ServiceName, avoid: &[TargetName]) -> bool {
+    pub fn has_other_upstream(&self, service: &ServiceName, avoid: &[TargetName]) -> bool {
         let Some(entry) = self.entry(service) else { return false };
         let entry = entry.lock().expect("no holder of the lock panics");
-        entry.pool.has_upstream_besides(avoid)
+        entry.pool.has_other_upstream(avoid)
     }
 
     /// Replaces the targets of a service and grants them to waiting requests.
@@ -308,7 +308,7 @@
     }
 
     fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
-        self.pool.leave(ticket);
+        self.pool.cancel(ticket);
         if let Some(tx) = self.signals.remove(&ticket) {
             let _ = tx.try_send(Signal::Refused(refusal));
         }
--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -17,8 +17,8 @@
 };
 
 use tansyknot_config::{
-    object::{Backend, Model, Rule, Weight},
-    store::ConfigVersion,
+    object::{Backend, Model, RetentionGoal, Rule},
+    objects_in_force::ConfigVersion,
 };
 use tansyknot_core::{
     Error, Result,
@@ -170,8 +170,8 @@
 impl ModelConfig {
     fn weight(&self) -> ColdWeight {
         match self.rule.retention.weight {
-            Weight::Cold => ColdWeight::More,
-            Weight::Idle => ColdWeight::Less,
+            RetentionGoal::Cold => ColdWeight::More,
+            RetentionGoal::Idle => ColdWeight::Less,
         }
     }
 
@@ -187,8 +187,8 @@
         let limits = &self.rule.retention;
         RetentionOptions {
             cold_start_worth: retention::cold_start_worth(self.weight()),
-            at_least: limits.at_least.duration(),
-            at_most: limits.at_most.duration(),
+            min_keep: limits.at_least.duration(),
+            max_keep: limits.at_most.duration(),
             load_time,
         }
     }
--- a/crates/tansyknot-control/src/reconcile/look.rs
+++ b/crates/tansyknot-control/src/reconcile/look.rs
@@ -1,8 +1,8 @@
 //! Selection of the services that need a step.
 
 use tansyknot_config::{
-    object::{Backend, Rule, Weight},
-    store::Store,
+    object::{Backend, RetentionGoal, Rule},
+    objects_in_force::ConfigObjects,
 };
 use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::Waiting, replica};
 
@@ -116,8 +116,9 @@
     }
 }
 
-fn find_preloaded(store: &Store) -> Vec<ServiceName> {
-    let is_preloaded = |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == Weight::Cold;
+fn find_preloaded(store: &ConfigObjects) -> Vec<ServiceName> {
+    let is_preloaded =
+        |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == RetentionGoal::Cold;
     let preloaded = store.services().filter(|service| {
         let is_model = matches!(service.backend, Backend::Model(_));
         is_model && store.rule_for(service).is_some_and(is_preloaded)
--- a/crates/tansyknot-control/src/reconcile/place.rs
+++ b/crates/tansyknot-control/src/reconcile/place.rs
@@ -10,7 +10,7 @@
     replica::{MemoryRow, ReplicaRow},
 };
 use tansyknot_policy::{
-    placement::{Need, Place},
+    placement::{PlacementCandidate, PlacementRequirements},
     staging::Staging,
 };
 
@@ -40,10 +40,10 @@
         self.target.memory_bytes.min(self.status.memory_bytes)
     }
 
-    fn place(&self, service: &ServiceName) -> Place {
+    fn place(&self, service: &ServiceName) -> PlacementCandidate {
         let taken = self.memory.row.reserved_bytes().saturating_add(self.unexplained_bytes());
         let loading = self.status.models.iter().filter(|m| m.state == ModelState::Loading);
-        Place {
+        PlacementCandidate {
             target: self.target.name.clone(),
             availability_zone: self.target.availability_zone.clone(),
             free_bytes: self.total_bytes().saturating_sub(taken),
@@ -81,7 +81,7 @@
             return Ok(ReserveOutcome::NoTarget);
         }
         let need = need(&replicas.row, model_config, &candidates);
-        let places: Vec<Place> = candidates.iter().map(|c| c.place(service)).collect();
+        let places: Vec<PlacementCandidate> = candidates.iter().map(|c| c.place(service)).collect();
         let Some(best) = self.parts.placement.order(&need, &places).first().copied() else {
             return Ok(ReserveOutcome::NoRoom);
         };
@@ -96,7 +96,7 @@
         model_config: &ModelConfig,
     ) -> Result<Staging> {
         let candidates = self.query_targets(model_config)?;
-        let places: Vec<Place> = candidates.iter().map(|c| c.place(service)).collect();
+        let places: Vec<PlacementCandidate> = candidates.iter().map(|c| c.place(service)).collect();
         let need = need(&ReplicaRow::default(), model_config, &candidates);
         Ok(Staging {
             nearest: places.iter().map(|p| p.tier).min().unwrap_or(Tier::Remote),
@@ -167,14 +167,18 @@
     }
 }
 
-fn need(row: &ReplicaRow, model_config: &ModelConfig, candidates: &[Candidate]) -> Need {
+fn need(
+    row: &ReplicaRow,
+    model_config: &ModelConfig,
+    candidates: &[Candidate],
+) -> PlacementRequirements {
     let zone = |name: &TargetName| -> Option<ZoneName> {
         let found = candidates.iter().find(|c| c.target.name == *name);
         found.map(|c| c.target.availability_zone.clone())
     };
-    Need {
+    PlacementRequirements {
         memory_bytes: model_config.model.reserved_bytes(),
-        zones_taken: row.slots.iter().filter_map(|s| zone(&s.target)).collect(),
-        targets_taken: row.slots.iter().map(|s| s.target.clone()).collect(),
+        occupied_zones: row.slots.iter().filter_map(|s| zone(&s.target)).collect(),
+        occupied_targets: row.slots.iter().map(|s| s.target.clone()).collect(),
     }
 }
--- a/crates/tansyknot-control/src/reconcile/retire.rs
+++ b/crates/tansyknot-control/src/reconcile/retire.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use tansyknot_config::object::Weight;
+use tansyknot_config::object::RetentionGoal;
 use tansyknot_core::{
     Result,
     clock::Time,
@@ -14,7 +14,7 @@
     replica::{ReplicaRow, Slot, SlotState},
 };
 use tansyknot_policy::{
-    retention::Plan,
+    retention::RetentionPlan,
     scaling::{self, Demand},
     staging,
 };
@@ -168,7 +168,7 @@
             StagingState::Loading(_) | StagingState::Cached => false,
         };
         let is_idle = demand.waiting == 0 && demand.in_flight == 0;
-        if !is_due || !is_idle || model_config.rule.retention.weight != Weight::Cold {
+        if !is_due || !is_idle || model_config.rule.retention.weight != RetentionGoal::Cold {
             return Ok(());
         }
         let staging = self.read_staging(service, model_config)?;
@@ -199,7 +199,7 @@
         service: &ServiceName,
         model_config: &ModelConfig,
         load_time: Duration,
-    ) -> (Duration, Plan) {
+    ) -> (Duration, RetentionPlan) {
         let now = self.parts.clock.now();
         let usage = self.usage.get_or_insert(service, now);
         let plan = self.parts.retention.plan(&usage.gaps, &model_config.retention(load_time));
--- a/crates/tansyknot-control/tests/config.rs
+++ b/crates/tansyknot-control/tests/config.rs
@@ -6,7 +6,7 @@
 use tansyknot_config::{
     document,
     object::Object,
-    store::{ConfigVersion, Op},
+    objects_in_force::{ConfigVersion, ObjectChange},
 };
 use tansyknot_control::config::{self, ApplyError, Author, ConfigView, Followed};
 use tansyknot_core::{
@@ -17,9 +17,9 @@
 use tansyknot_standins::fake::{CommitFault, FakeTable};
 use yare::parameterized;
 
-fn adapter(name: &str) -> Op {
+fn adapter(name: &str) -> ObjectChange {
     let text = format!("kind: adapter\nname: {name}\nservice: permit\n");
-    Op::Put(document::read(&text, "test").expect("the object is valid").remove(0))
+    ObjectChange::Put(document::read(&text, "test").expect("the object is valid").remove(0))
 }
 
 fn author(name: &str) -> Author {
@@ -56,7 +56,7 @@
 )]
 fn loser_of_a_race_is_told_which_version_won(faults: &[CommitFault]) {
     let table = FakeTable::default();
-    let rival = table.another_path();
+    let rival = table.new_connection();
     table.set_before_commit(Box::new(move || {
         assert_eq!(apply_one(&rival, 0, "rival"), Ok(1));
     }));
@@ -108,7 +108,7 @@
     for base in 1..200 {
         apply_one(&table, base, "a").expect("no other change was accepted");
     }
-    let limited = LimitedTable { table: table.another_path(), max_rows: 50 };
+    let limited = LimitedTable { table: table.new_connection(), max_rows: 50 };
     assert_eq!(view.follow(&limited), Ok(Followed::Raised(200)));
 }
 
@@ -170,7 +170,7 @@
     let view = ConfigView::default();
     apply_one(&table, 0, "a").expect("no other change was accepted");
     view.follow(&table).expect("up");
-    table.set_down(true);
+    table.set_unreachable(true);
     assert!(view.follow(&table).is_err());
     assert_eq!(view.version(), 1);
     assert_eq!(view.with(|s| s.adapters().count()), 1);
@@ -227,7 +227,7 @@
     apply_one(&table, 0, "a").expect("no other change was accepted");
     apply_one(&table, 1, "b").expect("no other change was accepted");
     view.follow(&table).expect("up");
-    let op = Op::Delete("adapter/a".to_owned());
+    let op = ObjectChange::Delete("adapter/a".to_owned());
     config::apply(&table, 2, &[op], &author("x")).expect("no other change was accepted");
     view.follow(&table).expect("up");
     let fresh = ConfigView::default();
@@ -260,8 +260,11 @@
     late.follow(&table).expect("up");
     for version in 1..60_u64 {
         let name = format!("a{}", version % 7);
-        let op =
-            if version % 3 == 0 { Op::Delete(format!("adapter/{name}")) } else { adapter(&name) };
+        let op = if version % 3 == 0 {
+            ObjectChange::Delete(format!("adapter/{name}"))
+        } else {
+            adapter(&name)
+        };
         config::apply(&table, version, &[op], &author("x")).expect("no other change was accepted");
         assert_eq!(step.follow(&table), Ok(Followed::Raised(version + 1)));
     }
--- a/crates/tansyknot-control/tests/idempotency.rs
+++ b/crates/tansyknot-control/tests/idempotency.rs
@@ -54,7 +54,7 @@
 fn second_daemon_finds_the_key_started_by_the_first() {
     let table = FakeTable::default();
     let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
-    let second = KeyedRequest::new("d1", "r1").begin(&table.another_path());
+    let second = KeyedRequest::new("d1", "r1").begin(&table.new_connection());
     assert_eq!(second, Ok(Begin::Started(RequestId::from("r0"))));
 }
 
@@ -105,7 +105,7 @@
     let table = FakeTable::default();
     table.script([fault]);
     let first = KeyedRequest::new("d0", "r0").begin(&table);
-    let second = KeyedRequest::new("d1", "r1").begin(&table.another_path());
+    let second = KeyedRequest::new("d1", "r1").begin(&table.new_connection());
     let is_fresh = |b: &tansyknot_core::Result<Begin>| matches!(b, Ok(Begin::Fresh(_)));
     assert_eq!(is_fresh(&first), first_is_fresh);
     assert_eq!(is_fresh(&second), !first_is_fresh);
@@ -128,7 +128,7 @@
 )]
 fn midnight_between_two_daemons_gives_the_key_once(first_ms: u64, second_ms: u64) {
     let table = FakeTable::default();
-    let rival = table.another_path();
+    let rival = table.new_connection();
     let other = KeyedRequest { at_ms: second_ms, ..KeyedRequest::new("d1", "r1") };
     table.set_before_commit(Box::new(move || drop(expect_fresh(other.begin(&rival)))));
     let first = KeyedRequest { at_ms: first_ms, ..KeyedRequest::new("d0", "r0") }.begin(&table);
--- a/crates/tansyknot-control/tests/races.rs
+++ b/crates/tansyknot-control/tests/races.rs
@@ -38,7 +38,7 @@
     world.engines.finish_loads();
     let reserved = world.slot_states("permit").len() + world.slot_states("summary").len();
     assert_eq!(reserved, 1);
-    assert!(world.engines.observed().replicas.values().all(|n| *n <= 1));
+    assert!(world.engines.maxima().replicas.values().all(|n| *n <= 1));
     let refused: u64 = world
         .hosts
         .state
@@ -122,21 +122,21 @@
             world.advance(*ms);
             // These daemons are not frozen, so an order that its engine has not read within the
             // lifetime is dropped with its connection. Another test covers a frozen sender.
-            world.engines.drop_old_orders(ORDER_LIFETIME);
+            world.engines.drop_held_older_than(ORDER_LIFETIME);
         }
         Op::FinishLoads => world.engines.finish_loads(),
         Op::HoldLoads(hold) => world.engines.hold_loads(*hold),
-        Op::DeliverHeldLoads => drop(world.engines.deliver_held()),
-        Op::SetTableDown(d, down) => daemons[*d].table.set_down(*down),
+        Op::DeliverHeldLoads => drop(world.engines.deliver_held_loads()),
+        Op::SetTableDown(d, down) => daemons[*d].table.set_unreachable(*down),
         Op::ScriptCommitFault(d, fault) => daemons[*d].table.script([*fault]),
         Op::LoseReplies(lose) => world.engines.lose_replies(*lose),
         Op::SetUnresponsive(e, is_unresponsive) => {
-            world.engines.set_silent(&TargetName::new(format!("e{e}")), *is_unresponsive);
+            world.engines.set_unresponsive(&TargetName::new(format!("e{e}")), *is_unresponsive);
         }
         // The process ends. Held load orders are delivered first, as an order of an ended process
         // can't arrive later.
         Op::Restart(d) => {
-            world.engines.deliver_held();
+            world.engines.deliver_held_loads();
             daemons[*d] = Arc::new(world.daemon(&format!("d{d}")));
         }
     }
@@ -160,7 +160,7 @@
     for op in ops {
         apply_op(&world, &mut daemons, op);
         prop_assert!(every_loaded_model_has_a_slot(&world), "after {op:?}");
-        let observed = world.engines.observed();
+        let observed = world.engines.maxima();
         prop_assert!(observed.replicas.values().all(|n| *n <= limit as usize), "after {op:?}");
         prop_assert!(observed.used_bytes.values().all(|b| *b <= 20 * GB), "after {op:?}");
         prop_assert!(world.slot_states(SERVICE).len() <= limit as usize, "after {op:?}");
--- a/crates/tansyknot-control/tests/replicas.rs
+++ b/crates/tansyknot-control/tests/replicas.rs
@@ -17,7 +17,7 @@
 use crate::support::OBJECTS;
 
 fn max_loaded(world: &World, service: &str) -> usize {
-    world.engines.observed().replicas.get(&ServiceName::from(service)).copied().unwrap_or(0)
+    world.engines.maxima().replicas.get(&ServiceName::from(service)).copied().unwrap_or(0)
 }
 
 /// Steps every daemon in turn while time passes and loads finish.
@@ -98,10 +98,10 @@
     world.apply_text(&OBJECTS.replace("{max: MAX}", "{min: 2, max: 2}"));
     let daemons = [world.daemon("d0")];
     run(&world, &daemons, "permit", 12);
-    assert_eq!(world.engines.loaded(&ServiceName::from("permit")), 2);
+    assert_eq!(world.engines.engines_with_model(&ServiceName::from("permit")), 2);
     world.apply(1);
     run(&world, &daemons, "permit", 12);
-    assert_eq!(world.engines.loaded(&ServiceName::from("permit")), 1);
+    assert_eq!(world.engines.engines_with_model(&ServiceName::from("permit")), 1);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
 }
 
@@ -124,7 +124,7 @@
     for target in ["e0", "e1"] {
         assert!(world.reserved_bytes(target) <= 20 * GB);
     }
-    assert!(world.engines.observed().used_bytes.values().all(|used| *used <= 20 * GB));
+    assert!(world.engines.maxima().used_bytes.values().all(|used| *used <= 20 * GB));
     let refused: u64 = ["e0", "e1"]
         .map(|t| world.engines.models(&TargetName::from(t)).peaks().refused_loads)
         .iter()
@@ -201,7 +201,7 @@
     assert_eq!(slots.is_empty(), freed, "{slots:?}");
 
     // The frozen holder resumes and its order arrives.
-    world.engines.deliver_held();
+    world.engines.deliver_held_loads();
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 20);
     assert_eq!(max_loaded(&world, "permit"), 1);
@@ -243,7 +243,7 @@
     world.apply(1);
     let daemon = world.daemon("d0");
     let _ = daemon.request(&world, "permit");
-    world.engines.set_silent(&TargetName::from("e0"), false);
+    world.engines.set_unresponsive(&TargetName::from("e0"), false);
     world.engines.lose_replies(true);
     daemon.step("permit").expect("the table is up");
     let row = |w: &World| {
@@ -275,7 +275,7 @@
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 20);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
-    assert_eq!(world.engines.loaded(&ServiceName::from("permit")), 1);
+    assert_eq!(world.engines.engines_with_model(&ServiceName::from("permit")), 1);
 }
 
 #[parameterized(checked = { Fencing::Checked }, ignored = { Fencing::Ignored })]
@@ -288,8 +288,8 @@
     let service = ServiceName::from("permit");
     let row = tansyknot_control::replicas::read_replicas(&world.table, &service).expect("up").row;
     let gone = row.slots[0].target.clone();
-    world.engines.set_silent(&gone, true);
-    world.hosts.state.mark(&gone, None);
+    world.engines.set_unresponsive(&gone, true);
+    world.hosts.state.set_state(&gone, None);
     run(&world, &daemons, "permit", 60);
     let _ = daemons[0].request(&world, "permit");
     run(&world, &daemons, "permit", 20);
@@ -305,7 +305,7 @@
     let daemons = [world.daemon("d0")];
     let _ = daemons[0].request(&world, "permit");
     daemons[0].step("permit").expect("the table is up");
-    world.engines.set_silent(&TargetName::from("e0"), true);
+    world.engines.set_unresponsive(&TargetName::from("e0"), true);
     run(&world, &daemons, "permit", 100);
     assert_eq!(world.slot_states("permit").len(), 1);
     assert_eq!(world.reserved_bytes("e0"), 16 * GB);
@@ -342,7 +342,7 @@
     let service = ServiceName::from("permit");
     assert!(daemons[0].pools.demand(&service).has_upstream);
     for target in ["e0", "e1"] {
-        world.hosts.state.mark(&TargetName::from(target), Some(HostState::Leaving));
+        world.hosts.state.set_state(&TargetName::from(target), Some(HostState::Leaving));
     }
     daemons[0].observe(&world);
     assert!(!daemons[0].pools.demand(&service).has_upstream);
@@ -358,16 +358,16 @@
     world.engines.hold_loads(true);
     daemons[0].step("permit").expect("the table is up");
     world.engines.hold_loads(false);
-    world.hosts.state.mark(&TargetName::from("e0"), Some(HostState::Leaving));
+    world.hosts.state.set_state(&TargetName::from("e0"), Some(HostState::Leaving));
     run(&world, &daemons, "permit", 8);
     // An engine that checks fencing tokens refuses the old order; for one that ignores them, the
     // slot is retained.
-    world.engines.deliver_held();
-    let loaded = world.engines.loaded(&ServiceName::from("permit"));
+    world.engines.deliver_held_loads();
+    let loaded = world.engines.engines_with_model(&ServiceName::from("permit"));
     assert_eq!(loaded, world.slot_states("permit").len().min(loaded));
     run(&world, &daemons, "permit", 140);
     assert_eq!(world.slot_states("permit"), []);
-    assert_eq!(world.engines.loaded(&ServiceName::from("permit")), 0);
+    assert_eq!(world.engines.engines_with_model(&ServiceName::from("permit")), 0);
 }
 
 #[parameterized(checked = { Fencing::Checked }, ignored = { Fencing::Ignored })]
@@ -468,7 +468,7 @@
     let Acquired::Queued(_, rx) = daemon.request(&world, "permit") else {
         panic!("the pool must queue the request");
     };
-    daemon.table.set_down(true);
+    daemon.table.set_unreachable(true);
     assert!(daemon.step("permit").is_err());
     let signal = daemon.pools.wait(&rx, std::time::Duration::ZERO);
     let Some(Signal::Refused(refusal)) = signal else {
--- a/crates/tansyknot-control/tests/support/mod.rs
+++ b/crates/tansyknot-control/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tansyknot_config::{document, store::Op};
+use tansyknot_config::{document, objects_in_force::ObjectChange};
 use tansyknot_control::{
     config::{self, Author, ConfigView},
     directory::Directory,
@@ -94,8 +94,8 @@
 
     pub(crate) fn apply_text(&self, text: &str) -> u64 {
         let objects = document::read(text, "test").expect("the test's objects are valid");
-        let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
-        let table = self.table.another_path();
+        let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
+        let table = self.table.new_connection();
         let (head, _) = config::read_head(&table).expect("the table is up");
         let author = Author { name: "test".to_owned(), at_ms: 0 };
         config::apply(&table, head.version, &ops, &author).expect("no other change was accepted")
@@ -110,7 +110,7 @@
 
     /// Starts a daemon that has read neither the configuration nor the list of hosts.
     pub(crate) fn unread_daemon(&self, name: &str) -> Daemon {
-        let table = self.table.another_path();
+        let table = self.table.new_connection();
         let clock: Arc<dyn Clock> = Arc::new(self.clock.clone());
         let hosts = Arc::new(HostView::default());
         let config = Arc::new(ConfigView::default());
@@ -190,7 +190,11 @@
 }
 
 pub(crate) fn pool_options() -> PoolOptions {
-    PoolOptions { availability_zone: ZoneName::from("z0"), per_upstream: 4, waiting_max: 100 }
+    PoolOptions {
+        availability_zone: ZoneName::from("z0"),
+        max_in_flight_per_upstream: 4,
+        max_waiting: 100,
+    }
 }
 
 pub(crate) fn engine_target(i: usize, memory_bytes: u64, fencing: Fencing) -> Target {
--- a/crates/tansyknot-core/tests/table.rs
+++ b/crates/tansyknot-core/tests/table.rs
@@ -33,7 +33,7 @@
     table.script(faults.iter().copied());
     let settled = commit_settled(&table, &put("mine"), KEY, is_own_write);
     assert_eq!(settled.is_ok(), written, "{settled:?}");
-    let row = table.another_path().read(KEY).expect("the table is up");
+    let row = table.new_connection().read(KEY).expect("the table is up");
     assert_eq!(row.is_some(), written);
 }
 
@@ -44,7 +44,7 @@
 )]
 fn lost_race_is_reported_as_a_conflict(faults: &[CommitFault]) {
     let table = FakeTable::default();
-    table.another_path().commit(&put("theirs")).expect("the row does not exist");
+    table.new_connection().commit(&put("theirs")).expect("the row does not exist");
     table.script(faults.iter().copied());
     let settled = commit_settled(&table, &put("mine"), KEY, is_own_write);
     assert!(matches!(settled, Err(Error::Conflict { .. })), "{settled:?}");
--- a/crates/tansyknot-edge/src/explain.rs
+++ b/crates/tansyknot-edge/src/explain.rs
@@ -6,7 +6,7 @@
 };
 
 use serde::Serialize;
-use tansyknot_config::store::ConfigVersion;
+use tansyknot_config::objects_in_force::ConfigVersion;
 use tansyknot_core::{
     clock::Time,
     name::{AttemptId, CallerName, DaemonName, RequestId, RuleName, ServiceName, TargetName},
--- a/crates/tansyknot-edge/src/gateway.rs
+++ b/crates/tansyknot-edge/src/gateway.rs
@@ -101,7 +101,7 @@
     /// Its availability zone.
     pub zone: ZoneName,
     /// The maximum number of requests that wait for one service.
-    pub waiting_max: usize,
+    pub max_waiting: usize,
     /// The maximum deadline.
     pub deadline_max: Duration,
 }
--- a/crates/tansyknot-edge/src/gateway/tries.rs
+++ b/crates/tansyknot-edge/src/gateway/tries.rs
@@ -83,7 +83,7 @@
                 AttemptOutcome::Responded(response) => {
                     if !matches!(response, CallerResponse::Partial(_)) {
                         placement.set_response_time(self.now().since(started_at));
-                        self.target_budget(&target, RetryBudget::success);
+                        self.target_budget(&target, RetryBudget::record_success);
                     }
                     return Ok(response);
                 }
@@ -110,7 +110,7 @@
             publisher: &self.parts.publisher,
             clock: self.parts.clock.as_ref(),
             zone: &self.options.zone,
-            waiting_max: self.options.waiting_max,
+            max_waiting: self.options.max_waiting,
         };
         let placement = placer.place(req, avoid, active.stream)?;
         let now = self.now();
@@ -229,7 +229,7 @@
             Failure::TimedOut => false,
         };
         // A request with no other target to try is refused at once, not at its deadline.
-        let has_other_target = self.parts.pools.has_upstream_besides(&req.service, &attempts.avoid);
+        let has_other_target = self.parts.pools.has_other_upstream(&req.service, &attempts.avoid);
         is_safe
             && has_other_target
             && self.target_budget(target, RetryBudget::take)
--- a/crates/tansyknot-edge/src/stage/admit.rs
+++ b/crates/tansyknot-edge/src/stage/admit.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use tansyknot_config::object::{Caller, CallerLimits};
-use tansyknot_config::store;
+use tansyknot_config::objects_in_force;
 use tansyknot_control::idempotency::{self, Begin, KeptAnswer, KeyHandle, KeyUse};
 use tansyknot_core::{
     Error,
@@ -14,7 +14,7 @@
 };
 use tansyknot_policy::{
     budget::RetryBudget,
-    meter::{Meter, MeterOptions},
+    token_bucket::{TokenBucket, TokenBucketOptions},
 };
 
 use super::identify::IdentifiedRequest;
@@ -27,7 +27,7 @@
 const STORE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 struct CallerState {
-    meter: Meter,
+    token_bucket: TokenBucket,
     in_flight: u32,
     retries: RetryBudget,
 }
@@ -51,19 +51,19 @@
     ///
     /// Fails if the caller exceeds one of its limits.
     pub fn enter(&self, caller: &Caller, now: Time) -> Result<Permit<'_>, Refusal> {
-        let options = meter_options(&caller.limits);
+        let options = token_bucket_options(&caller.limits);
         let mut callers = self.callers.lock().expect("the lock is not poisoned");
         let state = callers.entry(caller.name.clone()).or_insert_with(|| CallerState {
-            meter: Meter::new(options, now),
+            token_bucket: TokenBucket::new(options, now),
             in_flight: 0,
             retries: RetryBudget::default(),
         });
-        state.meter.set_options(options);
+        state.token_bucket.set_options(options);
         if state.in_flight >= caller.limits.in_flight {
             let detail = format!("{} requests are in flight", state.in_flight);
             return Err(Refusal::later(Reason::CallerLimit, IN_FLIGHT_RETRY_AFTER, detail));
         }
-        if let Err(wait) = state.meter.take(1.0, now) {
+        if let Err(wait) = state.token_bucket.take(1.0, now) {
             let detail = format!("over {} requests a second", caller.limits.rate_per_s);
             return Err(Refusal::later(Reason::CallerLimit, wait, detail));
         }
@@ -80,7 +80,7 @@
 
     /// Counts a success, which adds a fraction of a retry to the budget.
     pub fn success(&self) {
-        self.with(|state| state.retries.success());
+        self.with(|state| state.retries.record_success());
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut CallerState) -> T) -> Option<T> {
@@ -95,8 +95,8 @@
     }
 }
 
-fn meter_options(limits: &CallerLimits) -> MeterOptions {
-    MeterOptions { rate_per_s: f64::from(limits.rate_per_s), burst: f64::from(limits.burst) }
+fn token_bucket_options(limits: &CallerLimits) -> TokenBucketOptions {
+    TokenBucketOptions { rate_per_s: f64::from(limits.rate_per_s), burst: f64::from(limits.burst) }
 }
 
 /// The result of claiming an idempotency key.
@@ -124,7 +124,7 @@
     incarnation: &Incarnation,
     at_ms: u64,
 ) -> Result<KeyVerdict, Refusal> {
-    let key_hash = store::key_hash(key);
+    let key_hash = objects_in_force::key_hash(key);
     let request_hash = request_hash(req, body);
     let key_use = KeyUse {
         caller: &req.caller.name,
--- a/crates/tansyknot-edge/src/stage/identify.rs
+++ b/crates/tansyknot-edge/src/stage/identify.rs
@@ -4,8 +4,8 @@
 
 use serde::Deserialize;
 use tansyknot_config::{
-    object::{Backend, Caller, KeyDemand, Repeatability, Rule},
-    store::{self, Store},
+    object::{Backend, Caller, KeyRequirement, Repeatability, Rule},
+    objects_in_force::{self, ConfigObjects},
 };
 use tansyknot_core::{
     clock::Time,
@@ -121,7 +121,7 @@
 /// # Errors
 ///
 /// Fails if there is no configuration, the request has no key, or no caller has the key.
-pub fn caller(store: &Store, head: &Head) -> Result<Caller, Refusal> {
+pub fn caller(store: &ConfigObjects, head: &Head) -> Result<Caller, Refusal> {
     if store.version() == 0 {
         let detail = "no configuration has been read since the start";
         return Err(Refusal::later(Reason::NoConfiguration, CONFIG_RETRY_AFTER, detail));
@@ -129,7 +129,7 @@
     let unknown = |detail: &str| Refusal::not_run(Reason::UnknownCaller, detail);
     let value = head.header("authorization").ok_or_else(|| unknown("there is no key"))?;
     let key = key::bearer(value).ok_or_else(|| unknown("the key is not a bearer token"))?;
-    let caller = store.caller(&store::key_hash(key));
+    let caller = store.caller(&objects_in_force::key_hash(key));
     caller.cloned().ok_or_else(|| unknown("no caller has this key"))
 }
 
@@ -140,7 +140,7 @@
 /// Fails if the service does not exist or is not permitted, if no rule is in force for it, or if the
 /// request is invalid.
 pub fn identify(
-    store: &Store,
+    store: &ConfigObjects,
     caller: Caller,
     route: &Route,
     req: &Request,
@@ -220,7 +220,7 @@
             Err(Refusal::not_run(Reason::BadRequest, detail))
         }
         Some(key) => Ok(Some(key.to_owned())),
-        None if rule.requests.idempotency_key == KeyDemand::Required => {
+        None if rule.requests.idempotency_key == KeyRequirement::Required => {
             Err(Refusal::not_run(Reason::KeyRequired, "send an Idempotency-Key header"))
         }
         None => Ok(None),
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -34,7 +34,7 @@
     /// The availability zone of this daemon.
     pub zone: &'a ZoneName,
     /// The maximum number of requests that wait for one service.
-    pub waiting_max: usize,
+    pub max_waiting: usize,
 }
 
 /// A request's slot at a target, which is released when this value is dropped.
@@ -135,8 +135,8 @@
     fn options(&self, req: &IdentifiedRequest) -> PoolOptions {
         PoolOptions {
             availability_zone: self.zone.clone(),
-            per_upstream: req.rule.requests.in_flight_per_replica,
-            waiting_max: self.waiting_max,
+            max_in_flight_per_upstream: req.rule.requests.in_flight_per_replica,
+            max_waiting: self.max_waiting,
         }
     }
 }
--- a/crates/tansyknot-edge/tests/answers.rs
+++ b/crates/tansyknot-edge/tests/answers.rs
@@ -268,7 +268,7 @@
     stream
         .write_all(&request("POST /services/letters/x", &[], "left"))
         .expect("the daemon is listening");
-    while platform.plain.runs("left") == 0 {
+    while platform.plain.executions_of("left") == 0 {
         std::thread::yield_now();
     }
     drop(stream);
--- a/crates/tansyknot-edge/tests/at_most_once.rs
+++ b/crates/tansyknot-edge/tests/at_most_once.rs
@@ -26,7 +26,7 @@
     assert_eq!(status(&second_response), 200);
     assert!(second_response.contains("idempotency-replayed: true"));
     assert!(second_response.contains("\"runs\":1"));
-    assert_eq!(platform.plain.runs("load 7"), 1);
+    assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     exchange(daemon.address, &call("k", "load 7"));
     let other = exchange(daemon.address, &call("k", "load 8"));
     assert_eq!(code(&other), Reason::KeyReused.code());
-    assert_eq!(platform.plain.runs("load 8"), 0);
+    assert_eq!(platform.plain.executions_of("load 8"), 0);
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let second_response = exchange(second.address, &call("k", "load 7"));
     assert_eq!(code(&second_response), Reason::KeyInUse.code());
     assert!(second_response.contains("\"outcome\":\"unknown\""), "{second_response}");
-    assert_eq!(platform.plain.runs("load 7"), 1);
+    assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
 
 /// Each case lists the faults of the table during the first use of a key, and whether the call runs.
@@ -68,21 +68,21 @@
     first.table.script(faults.iter().copied());
     let first_response = exchange(first.address, &call("k", "load 7"));
     assert_eq!(status(&first_response), expected, "{first_response}");
-    assert_eq!(platform.plain.runs("load 7"), runs);
+    assert_eq!(platform.plain.executions_of("load 7"), runs);
     let _second_response = exchange(second.address, &call("k", "load 7"));
-    assert!(platform.plain.runs("load 7") <= 1);
+    assert!(platform.plain.executions_of("load 7") <= 1);
 }
 
 #[test]
 fn table_down_refuses_first_runs_at_once_and_says_when_to_come_back() {
     let platform = TestPlatform::new();
     let daemon = platform.start_daemon();
-    daemon.table.set_down(true);
+    daemon.table.set_unreachable(true);
     let response = exchange(daemon.address, &call("k", "load 7"));
     assert_eq!(code(&response), Reason::StoreUnavailable.code());
     assert!(response.contains("retry-after: 5"), "{response}");
     assert!(response.contains("\"outcome\":\"not_run\""));
-    assert_eq!(platform.plain.runs("load 7"), 0);
+    assert_eq!(platform.plain.executions_of("load 7"), 0);
     // Requests to loaded models need no row and are still served.
     let warm = exchange(daemon.address, &support::completion("permit", false, 1));
     assert_eq!(status(&warm), 200);
@@ -109,7 +109,7 @@
     let hash = xxhash_rust::xxh3::xxh3_128(format!("registry /record {body}").as_bytes());
     let key = KeyUse {
         caller: &"hauler".into(),
-        key_hash: &tansyknot_config::store::key_hash("k"),
+        key_hash: &tansyknot_config::objects_in_force::key_hash("k"),
         request_hash: &format!("{hash:032x}"),
         request: &"killed".into(),
         incarnation: &"d9#1".into(),
@@ -119,7 +119,7 @@
     let response = exchange(daemon.address, &call("k", body));
     assert_eq!(code(&response), Reason::KeyInUse.code(), "{response}");
     assert!(response.contains("\"outcome\":\"unknown\""));
-    assert_eq!(platform.plain.runs(body), 0);
+    assert_eq!(platform.plain.executions_of(body), 0);
 }
 
 fn now_ms() -> u64 {
@@ -143,5 +143,5 @@
     let responses: Vec<String> =
         threads.into_iter().map(|t| t.join().expect("the thread does not panic")).collect();
     assert_eq!(responses.iter().filter(|a| status(a) == 200).count(), 1, "{responses:?}");
-    assert_eq!(platform.plain.runs("load 7"), 1);
+    assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
--- a/crates/tansyknot-edge/tests/bad_input.rs
+++ b/crates/tansyknot-edge/tests/bad_input.rs
@@ -168,7 +168,7 @@
     let mut buf = [0; 4096];
     let n = stream.read(&mut buf).expect("the daemon responds");
     assert!(String::from_utf8_lossy(&buf[..n]).contains("200 OK"));
-    assert_eq!(platform.plain.runs("hello"), 1);
+    assert_eq!(platform.plain.executions_of("hello"), 1);
     // The same connection serves the next request.
     stream.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").expect("the daemon is listening");
     let n = stream.read(&mut buf).expect("the daemon responds");
--- a/crates/tansyknot-edge/tests/support/mod.rs
+++ b/crates/tansyknot-edge/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use tansyknot_config::{
     document,
-    store::{self, Op},
+    objects_in_force::{self, ObjectChange},
 };
 use tansyknot_control::{
     config::{self, Author, ConfigView},
@@ -40,7 +40,7 @@
     engine::{self, Engine, EngineOptions},
     fake::{FakeHosts, FakeTable},
     plain::{self, PlainState},
-    server::Running,
+    server::RunningServer,
 };
 
 pub(crate) const KEY: &str = "test-key";
@@ -112,7 +112,7 @@
     pub(crate) hosts: FakeHosts,
     pub(crate) engines: Vec<Arc<Engine>>,
     pub(crate) plain: Arc<PlainState>,
-    running: Vec<Running>,
+    running: Vec<RunningServer>,
 }
 
 /// A pipeline and its server.
@@ -183,9 +183,9 @@
         let hosts = FakeHosts::default();
         hosts.state.set(targets);
         let table = FakeTable::default();
-        let text = OBJECTS.replace("HASH", &store::key_hash(KEY));
+        let text = OBJECTS.replace("HASH", &objects_in_force::key_hash(KEY));
         let objects = document::read(&text, "test").expect("the test objects are valid");
-        let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
+        let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
         let author = Author { name: "test".to_owned(), at_ms: 0 };
         config::apply(&table, 0, &ops, &author).expect("there is no concurrent writer");
         Self { table, hosts, engines, plain, running }
@@ -209,7 +209,7 @@
 
     /// Starts a daemon with these options.
     pub(crate) fn start_daemon_with(&self, options: &ServerOptions) -> TestDaemon {
-        let table = self.table.another_path();
+        let table = self.table.new_connection();
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let config = Arc::new(ConfigView::default());
         config.follow(&table).expect("the table is up");
@@ -247,7 +247,7 @@
             daemon: DaemonName::from("d0"),
             incarnation: Incarnation::from("d0#1"),
             zone: ZoneName::from("z0"),
-            waiting_max: 16,
+            max_waiting: 16,
             deadline_max: Duration::from_secs(60),
         };
         let handler: Arc<dyn Handler> = Arc::new(Gateway::new(parts, gateway));
@@ -260,13 +260,13 @@
 
     /// Returns how many requests the engines have started.
     pub(crate) fn started(&self) -> usize {
-        self.engines.iter().map(|e| e.ran().requests.len()).sum()
+        self.engines.iter().map(|e| e.executed_requests().requests.len()).sum()
     }
 }
 
 impl Drop for TestPlatform {
     fn drop(&mut self) {
-        self.running.iter().for_each(Running::stop);
+        self.running.iter().for_each(RunningServer::stop);
     }
 }
 
--- a/crates/tansyknot-gossip/src/members.rs
+++ b/crates/tansyknot-gossip/src/members.rs
@@ -17,7 +17,7 @@
     name::{DaemonName, ZoneName},
 };
 
-use crate::message::{Liveness, Message, Update};
+use crate::message::{Liveness, MemberUpdate, Message};
 
 /// Options of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// The identity of this daemon in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Myself {
+pub struct LocalMember {
     /// The name.
     pub daemon: DaemonName,
     /// Where it listens for peers.
@@ -56,7 +56,7 @@
     /// Its availability zone.
     pub availability_zone: ZoneName,
     /// The incarnation number: higher than at any earlier start, for instance the time in ms.
-    pub number: u64,
+    pub incarnation: u64,
 }
 
 /// A message and its destination.
@@ -104,7 +104,7 @@
 #[derive(Debug)]
 pub struct Members {
     options: MembersOptions,
-    me: Myself,
+    me: LocalMember,
     members: BTreeMap<DaemonName, Member>,
     probe_order: Vec<DaemonName>,
     probe: Option<Probe>,
@@ -116,7 +116,7 @@
 
 impl Members {
     /// Creates a membership with only this daemon.
-    pub fn new(me: Myself, options: MembersOptions) -> Self {
+    pub fn new(me: LocalMember, options: MembersOptions) -> Self {
         Self {
             options,
             me,
@@ -152,7 +152,7 @@
     }
 
     /// Adds daemons that the table lists; existing members stay unchanged.
-    pub fn join(&mut self, daemons: impl IntoIterator<Item = Update>, now: Time) {
+    pub fn join(&mut self, daemons: impl IntoIterator<Item = MemberUpdate>, now: Time) {
         for update in daemons {
             if !self.members.contains_key(&update.daemon) {
                 self.apply_update(update, now);
@@ -292,14 +292,14 @@
             .retain(|_, m| m.liveness != Liveness::Dead || now.since(m.liveness_since) < retention);
     }
 
-    fn apply_updates(&mut self, updates: Vec<Update>, now: Time) {
+    fn apply_updates(&mut self, updates: Vec<MemberUpdate>, now: Time) {
         for update in updates {
             self.apply_update(update, now);
         }
     }
 
     /// Applies the update of a member if it supersedes the stored state.
-    fn apply_update(&mut self, update: Update, now: Time) {
+    fn apply_update(&mut self, update: MemberUpdate, now: Time) {
         if update.daemon == self.me.daemon {
             self.refute(&update);
             return;
@@ -324,7 +324,7 @@
         let member = Member {
             address: update.address,
             zone: update.availability_zone,
-            incarnation: update.number,
+            incarnation: update.incarnation,
             liveness: update.liveness,
             liveness_since: now,
             sends_left: send_count(self.members.len() + 1),
@@ -334,14 +334,14 @@
     }
 
     /// Raises this daemon's incarnation number above that of an update that reports it as not alive.
-    fn refute(&mut self, update: &Update) {
-        if update.liveness != Liveness::Alive && update.number >= self.me.number {
-            self.me.number = update.number + 1;
+    fn refute(&mut self, update: &MemberUpdate) {
+        if update.liveness != Liveness::Alive && update.incarnation >= self.me.incarnation {
+            self.me.incarnation = update.incarnation + 1;
         }
     }
 
     /// Returns this daemon's own update, then those with the most sends left.
-    fn next_updates(&mut self) -> Vec<Update> {
+    fn next_updates(&mut self) -> Vec<MemberUpdate> {
         let mut names: Vec<(u32, DaemonName)> = self
             .members
             .iter()
@@ -359,12 +359,12 @@
         updates
     }
 
-    fn own_update(&self) -> Update {
-        Update {
+    fn own_update(&self) -> MemberUpdate {
+        MemberUpdate {
             daemon: self.me.daemon.clone(),
             address: self.me.address,
             availability_zone: self.me.availability_zone.clone(),
-            number: self.me.number,
+            incarnation: self.me.incarnation,
             liveness: Liveness::Alive,
         }
     }
@@ -375,12 +375,12 @@
     }
 }
 
-fn update_of(name: &DaemonName, member: &Member) -> Update {
-    Update {
+fn update_of(name: &DaemonName, member: &Member) -> MemberUpdate {
+    MemberUpdate {
         daemon: name.clone(),
         address: member.address,
         availability_zone: member.zone.clone(),
-        number: member.incarnation,
+        incarnation: member.incarnation,
         liveness: member.liveness,
     }
 }
@@ -392,11 +392,11 @@
 
 /// Returns whether an update replaces the stored state: a higher incarnation number does, and at
 /// the same number dead replaces suspect and suspect replaces alive.
-fn supersedes(update: &Update, existing: &Member) -> bool {
+fn supersedes(update: &MemberUpdate, existing: &Member) -> bool {
     let rank = |l: Liveness| match l {
         Liveness::Alive => 0,
         Liveness::Suspect => 1,
         Liveness::Dead => 2,
     };
-    (update.number, rank(update.liveness)) > (existing.incarnation, rank(existing.liveness))
+    (update.incarnation, rank(update.liveness)) > (existing.incarnation, rank(existing.liveness))
 }
--- a/crates/tansyknot-gossip/src/message.rs
+++ b/crates/tansyknot-gossip/src/message.rs
@@ -27,7 +27,7 @@
 
 /// The state of one member, as sent between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
+pub struct MemberUpdate {
     /// The member.
     pub daemon: DaemonName,
     /// Where it listens for peers.
@@ -35,7 +35,7 @@
     /// Its availability zone.
     pub availability_zone: ZoneName,
     /// The incarnation number; it rises with each start and each refutation of the member.
-    pub number: u64,
+    pub incarnation: u64,
     /// Its state.
     pub liveness: Liveness,
 }
@@ -59,14 +59,14 @@
         /// The sequence number, returned in the reply.
         seq: u64,
         /// States of members.
-        updates: Vec<Update>,
+        updates: Vec<MemberUpdate>,
     },
     /// Replies to a ping.
     Ack {
         /// The sequence number of the ping.
         seq: u64,
         /// States of members.
-        updates: Vec<Update>,
+        updates: Vec<MemberUpdate>,
     },
     /// Requests an indirect probe: the receiver pings another member for the sender.
     PingFor {
@@ -75,7 +75,7 @@
         /// The member to ping.
         address: SocketAddr,
         /// States of members.
-        updates: Vec<Update>,
+        updates: Vec<MemberUpdate>,
     },
     /// The sender has requests waiting for a service that the receiver coordinates.
     Wake {
--- a/crates/tansyknot-gossip/src/node.rs
+++ b/crates/tansyknot-gossip/src/node.rs
@@ -20,8 +20,8 @@
 
 use crate::{
     interest::Interest,
-    members::{Members, MembersOptions, Myself, Outgoing},
-    message::{self, Envelope, MAX_BYTES, Message, Update, UseEntry},
+    members::{LocalMember, Members, MembersOptions, Outgoing},
+    message::{self, Envelope, MAX_BYTES, MemberUpdate, Message, UseEntry},
 };
 
 /// Timeout of a socket read, which bounds the delay of probes.
@@ -84,7 +84,7 @@
     ///
     /// Fails if the socket can't be bound.
     pub fn bind(
-        mut me: Myself,
+        mut me: LocalMember,
         options: MembersOptions,
         clock: Arc<dyn Clock>,
     ) -> io::Result<Self> {
@@ -121,7 +121,7 @@
     }
 
     /// Adds daemons that the table lists.
-    pub fn join(&self, daemons: Vec<Update>) {
+    pub fn join(&self, daemons: Vec<MemberUpdate>) {
         let now = self.clock.now();
         self.members.lock().expect("no holder of the lock panics").join(daemons, now);
     }
@@ -147,7 +147,7 @@
     }
 
     /// Waits briefly for a datagram, handles it and advances the membership.
-    pub fn turn(&self) {
+    pub fn poll(&self) {
         let mut buf = [0; MAX_BYTES + 1];
         if let Ok((length, from)) = self.socket.recv_from(&mut buf) {
             self.handle_datagram(&buf[..length], from);
--- a/crates/tansyknot-gossip/tests/members.rs
+++ b/crates/tansyknot-gossip/tests/members.rs
@@ -10,8 +10,8 @@
     peer,
 };
 use tansyknot_gossip::{
-    members::{Members, MembersOptions, Myself, Outgoing},
-    message::{self, DatagramError, Envelope, Liveness, Message, Update, UseEntry},
+    members::{LocalMember, Members, MembersOptions, Outgoing},
+    message::{self, DatagramError, Envelope, Liveness, MemberUpdate, Message, UseEntry},
 };
 use yare::parameterized;
 
@@ -23,12 +23,12 @@
     DaemonName::new(format!("d{i}"))
 }
 
-fn update(i: usize) -> Update {
-    Update {
+fn update(i: usize) -> MemberUpdate {
+    MemberUpdate {
         daemon: name(i),
         address: address(i),
         availability_zone: ZoneName::from("z"),
-        number: 0,
+        incarnation: 0,
         liveness: Liveness::Alive,
     }
 }
@@ -95,12 +95,12 @@
     }
 }
 
-fn member(i: usize, number: u64) -> Members {
-    let me = Myself {
+fn member(i: usize, incarnation: u64) -> Members {
+    let me = LocalMember {
         daemon: name(i),
         address: address(i),
         availability_zone: ZoneName::from("z"),
-        number,
+        incarnation,
     };
     Members::new(me, MembersOptions::default())
 }
--- a/crates/tansyknot-platform/tests/clients.rs
+++ b/crates/tansyknot-platform/tests/clients.rs
@@ -107,7 +107,7 @@
         1
     );
     assert_eq!(client.list(), Ok(None));
-    state.mark(&TargetName::from("e0"), Some(HostState::Leaving));
+    state.set_state(&TargetName::from("e0"), Some(HostState::Leaving));
     let changed =
         client.list().expect("the server responds").expect("the changed list is returned");
     assert_eq!(changed[0].state, HostState::Leaving);
--- a/crates/tansyknot-policy/examples/replay/main.rs
+++ b/crates/tansyknot-policy/examples/replay/main.rs
@@ -4,8 +4,8 @@
 
 mod policy;
 mod report;
+mod simulation;
 mod trace;
-mod world;
 
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
 
 use crate::{
     policy::Policy,
-    world::{Simulation, SimulationOptions},
+    simulation::{Simulation, SimulationOptions},
 };
 
 /// The cost that the operators weigh more.
--- a/crates/tansyknot-policy/examples/replay/world.rs
+++ b/crates/tansyknot-policy/examples/replay/simulation.rs
@@ -17,7 +17,7 @@
     gaps::Gaps,
     pool::{Arrival, Grant, Pool, PoolOptions, Upstream},
     queue::{Ticket, Waiter},
-    retention::{self, Plan, RetentionOptions},
+    retention::{self, RetentionOptions, RetentionPlan},
     routing::ZoneTwoChoices,
     scaling::{self, ColdWeight, Demand, ReplicaBounds},
 };
@@ -162,8 +162,8 @@
         }
         let pool_options = PoolOptions {
             availability_zone: zone(0),
-            per_upstream: MAX_IN_FLIGHT_PER_REPLICA,
-            waiting_max: 512,
+            max_in_flight_per_upstream: MAX_IN_FLIGHT_PER_REPLICA,
+            max_waiting: 512,
         };
         let services = names
             .iter()
@@ -435,12 +435,12 @@
         }
     }
 
-    fn plan(&self, id: usize) -> Plan {
+    fn plan(&self, id: usize) -> RetentionPlan {
         let s = &self.services[id];
         let options = RetentionOptions {
             cold_start_worth: retention::cold_start_worth(self.weight()),
-            at_least: MIN_KEEP,
-            at_most: MAX_KEEP,
+            min_keep: MIN_KEEP,
+            max_keep: MAX_KEEP,
             load_time: Duration::from_micros(s.load_us),
         };
         let plan = self.policy.retention.plan(&s.gaps, &options);
@@ -455,13 +455,13 @@
         }
     }
 
-    fn is_prewarm_time(&self, id: usize, plan: &Plan) -> bool {
+    fn is_prewarm_time(&self, id: usize, plan: &RetentionPlan) -> bool {
         let Some(last_us) = self.services[id].last_use_us else { return false };
         let idle = Duration::from_micros(self.now_us - last_us);
         plan.prewarm.is_some_and(|(from, duration)| idle >= from && idle < from + duration)
     }
 
-    fn remove_idle(&mut self, id: usize, plan: &Plan) {
+    fn remove_idle(&mut self, id: usize, plan: &RetentionPlan) {
         let Some(last_us) = self.services[id].last_use_us else { return };
         let idle = Duration::from_micros(self.now_us - last_us);
         if self.policy.bounded && idle >= MIN_KEEP && self.services[id].replicas.len() > 1 {
@@ -480,7 +480,7 @@
 
     /// Schedules the next check: at the end of the retention, at a bound of the prewarm window, or
     /// in 500 ms while requests wait.
-    fn schedule(&mut self, id: usize, plan: &Plan) {
+    fn schedule(&mut self, id: usize, plan: &RetentionPlan) {
         let s = &self.services[id];
         let Some(last_us) = s.last_use_us else { return };
         let after = |elapsed: Duration| last_us.saturating_add(elapsed.as_micros() as u64);
--- a/crates/tansyknot-policy/examples/replay/world/loads.rs
+++ b/crates/tansyknot-policy/examples/replay/simulation/loads.rs
@@ -4,7 +4,7 @@
 
 use tansyknot_core::{clock::Time, engine::Tier};
 use tansyknot_policy::{
-    placement::{NearestCheckpoint, Need, Place, Placement},
+    placement::{NearestCheckpoint, Placement, PlacementCandidate, PlacementRequirements},
     staging::{self, Staging},
 };
 
@@ -100,13 +100,13 @@
 
     fn choose_host(&self, id: usize) -> Option<usize> {
         let taken = &self.services[id].replicas;
-        let need = Need {
+        let need = PlacementRequirements {
             memory_bytes: self.options.model_bytes,
-            zones_taken: taken.iter().map(|x| zone(x.host)).collect(),
-            targets_taken: taken.iter().map(|x| target(x.host)).collect(),
+            occupied_zones: taken.iter().map(|x| zone(x.host)).collect(),
+            occupied_targets: taken.iter().map(|x| target(x.host)).collect(),
         };
-        let places: Vec<Place> = (0..self.hosts.len())
-            .map(|host| Place {
+        let places: Vec<PlacementCandidate> = (0..self.hosts.len())
+            .map(|host| PlacementCandidate {
                 target: target(host),
                 availability_zone: zone(host),
                 free_bytes: self.options.memory_bytes - self.hosts[host].used_bytes,
--- a/crates/tansyknot-policy/src/budget.rs
+++ b/crates/tansyknot-policy/src/budget.rs
@@ -29,7 +29,7 @@
     }
 
     /// Adds the retries earned by a success.
-    pub fn success(&mut self) {
+    pub fn record_success(&mut self) {
         self.available = (self.available + self.options.per_success).min(self.options.capacity);
     }
 
--- a/crates/tansyknot-policy/src/lib.rs
+++ b/crates/tansyknot-policy/src/lib.rs
@@ -5,7 +5,6 @@
 
 pub mod budget;
 pub mod gaps;
-pub mod meter;
 pub mod placement;
 pub mod pool;
 pub mod queue;
@@ -13,3 +12,4 @@
 pub mod routing;
 pub mod scaling;
 pub mod staging;
+pub mod token_bucket;
--- a/crates/tansyknot-policy/src/placement.rs
+++ b/crates/tansyknot-policy/src/placement.rs
@@ -7,7 +7,7 @@
 
 /// A target that the operators' selector allows for a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct PlacementCandidate {
     /// The target.
     pub target: TargetName,
     /// Its availability zone.
@@ -25,19 +25,19 @@
 
 /// The requirements of the replica to place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct PlacementRequirements {
     /// Memory that one replica reserves, in bytes.
     pub memory_bytes: u64,
     /// Zones that already hold a replica of the service.
-    pub zones_taken: Vec<ZoneName>,
+    pub occupied_zones: Vec<ZoneName>,
     /// Targets that already hold a replica of the service.
-    pub targets_taken: Vec<TargetName>,
+    pub occupied_targets: Vec<TargetName>,
 }
 
 /// Ranks the allowed targets for a replica.
 pub trait Placement: Send + Sync {
     /// Returns the indices of the `places` that fit, best first.
-    fn order(&self, need: &Need, places: &[Place]) -> Vec<usize>;
+    fn order(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize>;
 }
 
 /// Ranks the targets that fit: those without a running load first, then by nearer checkpoint, zone
@@ -46,14 +46,14 @@
 pub struct NearestCheckpoint;
 
 impl Placement for NearestCheckpoint {
-    fn order(&self, need: &Need, places: &[Place]) -> Vec<usize> {
-        let fits = |p: &Place| {
-            p.free_bytes >= need.memory_bytes && !need.targets_taken.contains(&p.target)
+    fn order(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize> {
+        let fits = |p: &PlacementCandidate| {
+            p.free_bytes >= need.memory_bytes && !need.occupied_targets.contains(&p.target)
         };
         let mut order: Vec<usize> = (0..places.len()).filter(|&i| fits(&places[i])).collect();
         order.sort_by_key(|&i| {
             let p = &places[i];
-            let zone_taken = need.zones_taken.contains(&p.availability_zone);
+            let zone_taken = need.occupied_zones.contains(&p.availability_zone);
             // The tightest fit wins among otherwise equal targets, which leaves large free areas
             // to large models.
             (p.loading.min(1), p.tier, zone_taken, p.loading, p.free_bytes, p.in_flight)
--- a/crates/tansyknot-policy/src/pool.rs
+++ b/crates/tansyknot-policy/src/pool.rs
@@ -28,9 +28,9 @@
     /// The availability zone of this daemon.
     pub availability_zone: ZoneName,
     /// Maximum number of this daemon's requests in flight at one upstream.
-    pub per_upstream: u32,
+    pub max_in_flight_per_upstream: u32,
     /// Maximum number of waiting requests.
-    pub waiting_max: usize,
+    pub max_waiting: usize,
 }
 
 /// The decision on a request that arrives.
@@ -141,7 +141,7 @@
     }
 
     /// Returns whether an upstream outside `avoid` is open.
-    pub fn has_upstream_besides(&self, avoid: &[TargetName]) -> bool {
+    pub fn has_other_upstream(&self, avoid: &[TargetName]) -> bool {
         self.members.iter().any(|m| m.open && !avoid.contains(&m.upstream.target))
     }
 
@@ -226,7 +226,7 @@
         }
         let wait = self.expected_wait(now, &waiter);
         let in_time = now + wait + self.service_time <= waiter.deadline;
-        if !in_time || self.queue.len() >= self.options.waiting_max {
+        if !in_time || self.queue.len() >= self.options.max_waiting {
             return Arrival::Refused(wait);
         }
         Arrival::Queued(self.queue.push(waiter))
@@ -254,7 +254,7 @@
     }
 
     /// Removes a waiting request; returns whether it was still waiting.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket).is_some()
     }
 
@@ -271,7 +271,7 @@
     /// Returns the expected waiting time of a request like `waiter`.
     pub fn expected_wait(&self, now: Time, waiter: &Waiter) -> Duration {
         let open = self.members.iter().filter(|m| m.open).count().max(1) as f64;
-        let capacity = open * f64::from(self.options.per_upstream);
+        let capacity = open * f64::from(self.options.max_in_flight_per_upstream);
         let rounds = (self.queue.ahead_of(waiter) as f64 + 1.0) / capacity;
         let queue = self.service_time.mul_f64(rounds);
         let load = match self.ready_at {
@@ -321,7 +321,7 @@
             same_zone: m.upstream.availability_zone == self.options.availability_zone,
             own_in_flight: m.in_flight,
             reported_in_flight: self.reported_load(m),
-            limit: self.options.per_upstream,
+            limit: self.options.max_in_flight_per_upstream,
             prefix_cached: prefix.is_some_and(|p| m.prefixes.contains(&p)),
         }
     }
--- a/crates/tansyknot-policy/src/retention.rs
+++ b/crates/tansyknot-policy/src/retention.rs
@@ -10,9 +10,9 @@
     /// The cost of one cold start, as the idle time that the operators accept to avoid it.
     pub cold_start_worth: Duration,
     /// Minimum time for which a replica stays loaded after a use.
-    pub at_least: Duration,
+    pub min_keep: Duration,
     /// Maximum time for which a replica stays loaded after a use.
-    pub at_most: Duration,
+    pub max_keep: Duration,
     /// Expected duration of a load; a prewarm starts this long before the expected use.
     pub load_time: Duration,
 }
@@ -32,7 +32,7 @@
 
 /// The retention plan for the time after a use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct RetentionPlan {
     /// How long the replica stays loaded after the last use.
     pub keep: Duration,
     /// When the replica is loaded again, as time after the last use, and how long it then stays.
@@ -42,7 +42,7 @@
 /// Decides how long an unused replica stays loaded.
 pub trait Retention: Send + Sync {
     /// Returns the plan for the time after a use.
-    fn plan(&self, gaps: &Gaps, options: &RetentionOptions) -> Plan;
+    fn plan(&self, gaps: &Gaps, options: &RetentionOptions) -> RetentionPlan;
 }
 
 /// Keeps every replica for the same time after its last use.
@@ -50,8 +50,8 @@
 pub struct FixedTtl(pub Duration);
 
 impl Retention for FixedTtl {
-    fn plan(&self, _: &Gaps, _: &RetentionOptions) -> Plan {
-        Plan { keep: self.0, prewarm: None }
+    fn plan(&self, _: &Gaps, _: &RetentionOptions) -> RetentionPlan {
+        RetentionPlan { keep: self.0, prewarm: None }
     }
 }
 
@@ -67,17 +67,17 @@
 const MIN_WINDOW_SHARE: f64 = 0.6;
 
 impl Retention for LeastCost {
-    fn plan(&self, gaps: &Gaps, options: &RetentionOptions) -> Plan {
-        let clamp = |ttl: Duration| ttl.clamp(options.at_least, options.at_most);
+    fn plan(&self, gaps: &Gaps, options: &RetentionOptions) -> RetentionPlan {
+        let clamp = |ttl: Duration| ttl.clamp(options.min_keep, options.max_keep);
         if gaps.len() < MIN_GAPS {
-            return Plan { keep: clamp(options.cold_start_worth), prewarm: None };
+            return RetentionPlan { keep: clamp(options.cold_start_worth), prewarm: None };
         }
         let sorted = gaps.sorted();
         let worth = options.cold_start_worth.as_secs_f64();
         let (keep, keep_cost) = best_keep(&sorted, worth, options);
         match best_window(&sorted, worth, options) {
             Some((plan, cost)) if cost < keep_cost => plan,
-            _ => Plan { keep: clamp(Duration::from_secs_f64(keep)), prewarm: None },
+            _ => RetentionPlan { keep: clamp(Duration::from_secs_f64(keep)), prewarm: None },
         }
     }
 }
@@ -87,8 +87,8 @@
 /// Between the ends of two neighbouring gaps the cost is convex, so only the minimum retention and
 /// the times that just cover a gap are candidates.
 fn best_keep(sorted: &[u32], worth: f64, options: &RetentionOptions) -> (f64, f64) {
-    let shortest = options.at_least.as_secs_f64();
-    let longest = options.at_most.as_secs_f64();
+    let shortest = options.min_keep.as_secs_f64();
+    let longest = options.max_keep.as_secs_f64();
     let candidates = sorted.iter().map(|&gap| f64::from(gap) + 1.0).filter(|&s| s <= longest);
     let candidates = std::iter::once(shortest).chain(candidates.filter(|&s| s > shortest));
     let costed = candidates.map(|ttl| (ttl, keep_cost(sorted, ttl, worth)));
@@ -105,8 +105,12 @@
 
 /// Returns the cheapest plan that removes the replica after the minimum retention and prewarms it
 /// before the usual end of a gap, with its cost in seconds.
-fn best_window(sorted: &[u32], worth: f64, options: &RetentionOptions) -> Option<(Plan, f64)> {
-    let shortest = options.at_least.as_secs_f64();
+fn best_window(
+    sorted: &[u32],
+    worth: f64,
+    options: &RetentionOptions,
+) -> Option<(RetentionPlan, f64)> {
+    let shortest = options.min_keep.as_secs_f64();
     let lead = options.load_time.as_secs_f64();
     let longer: Vec<f64> = sorted.iter().map(|&g| f64::from(g)).filter(|&g| g > shortest).collect();
     let window_len = ((longer.len() as f64) * MIN_WINDOW_SHARE).ceil() as usize;
@@ -130,8 +134,8 @@
     };
     let short: f64 = sorted.iter().map(|&g| f64::from(g)).filter(|&g| g <= shortest).sum();
     let total = short + longer.iter().map(cost).sum::<f64>();
-    let plan = Plan {
-        keep: options.at_least,
+    let plan = RetentionPlan {
+        keep: options.min_keep,
         prewarm: Some((Duration::from_secs_f64(from), Duration::from_secs_f64(until - from))),
     };
     Some((plan, total))
--- a/crates/tansyknot-policy/src/meter.rs
+++ b/crates/tansyknot-policy/src/token_bucket.rs
@@ -6,7 +6,7 @@
 
 /// The refill rate and the capacity of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MeterOptions {
+pub struct TokenBucketOptions {
     /// Units added in each second.
     pub rate_per_s: f64,
     /// Maximum number of units in the bucket.
@@ -15,20 +15,20 @@
 
 /// A token bucket.
 #[derive(Clone, Debug)]
-pub struct Meter {
-    options: MeterOptions,
+pub struct TokenBucket {
+    options: TokenBucketOptions,
     level: f64,
     updated_at: Time,
 }
 
-impl Meter {
+impl TokenBucket {
     /// Creates a full bucket.
-    pub fn new(options: MeterOptions, now: Time) -> Self {
+    pub fn new(options: TokenBucketOptions, now: Time) -> Self {
         Self { options, level: options.burst, updated_at: now }
     }
 
     /// Replaces the options; the present units stay, up to the new burst.
-    pub fn set_options(&mut self, options: MeterOptions) {
+    pub fn set_options(&mut self, options: TokenBucketOptions) {
         self.options = options;
         self.level = self.level.min(options.burst);
     }
--- a/crates/tansyknot-policy/tests/decisions.rs
+++ b/crates/tansyknot-policy/tests/decisions.rs
@@ -11,13 +11,13 @@
 use tansyknot_policy::{
     budget::RetryBudget,
     gaps::Gaps,
-    meter::{Meter, MeterOptions},
-    placement::{NearestCheckpoint, Need, Place, Placement},
+    placement::{NearestCheckpoint, Placement, PlacementCandidate, PlacementRequirements},
     queue::{WaitQueue, Waiter},
-    retention::{LeastCost, Plan, Retention, RetentionOptions},
+    retention::{LeastCost, Retention, RetentionOptions, RetentionPlan},
     routing::{Candidate, Routing, ZoneTwoChoices},
     scaling::{self, ColdWeight, Demand, ReplicaBounds},
     staging::{self, Staging},
+    token_bucket::{TokenBucket, TokenBucketOptions},
 };
 use yare::parameterized;
 
@@ -69,8 +69,8 @@
     assert!((100..300).contains(&picks), "{picks}");
 }
 
-fn place(name: &str, zone: &str, free: u64, tier: Tier, loading: u32) -> Place {
-    Place {
+fn place(name: &str, zone: &str, free: u64, tier: Tier, loading: u32) -> PlacementCandidate {
+    PlacementCandidate {
         target: TargetName::from(name),
         availability_zone: ZoneName::from(zone),
         free_bytes: free,
@@ -88,11 +88,11 @@
     tightest_fit = { vec![place("wide", "z2", 90, Tier::Disk, 0), place("tight", "z2", 20, Tier::Disk, 0)], "tight" },
     only_what_fits = { vec![place("small", "z2", 19, Tier::Memory, 0), place("fits", "z1", 20, Tier::Remote, 3)], "fits" },
 )]
-fn place_is_chosen(places: Vec<Place>, expected: &str) {
-    let need = Need {
+fn place_is_chosen(places: Vec<PlacementCandidate>, expected: &str) {
+    let need = PlacementRequirements {
         memory_bytes: 20,
-        zones_taken: vec![ZoneName::from("z1")],
-        targets_taken: vec![TargetName::from("taken")],
+        occupied_zones: vec![ZoneName::from("z1")],
+        occupied_targets: vec![TargetName::from("taken")],
     };
     let order = NearestCheckpoint.order(&need, &places);
     assert_eq!(places[order[0]].target.as_str(), expected);
@@ -127,8 +127,8 @@
 fn options(worth: u64) -> RetentionOptions {
     RetentionOptions {
         cold_start_worth: s(worth),
-        at_least: s(10),
-        at_most: s(3600),
+        min_keep: s(10),
+        max_keep: s(3600),
         load_time: s(5),
     }
 }
@@ -141,7 +141,7 @@
 )]
 fn retention_of_an_unused_replica(seen: &[u64], worth: u64, expected: Duration) {
     let plan = LeastCost.plan(&gaps(seen), &options(worth));
-    assert_eq!(plan, Plan { keep: expected, prewarm: None });
+    assert_eq!(plan, RetentionPlan { keep: expected, prewarm: None });
 }
 
 #[test]
@@ -173,20 +173,20 @@
 fn retry_budget_is_a_share_of_the_successes() {
     let mut budget = RetryBudget::default();
     assert_eq!((0..20).filter(|_| budget.take()).count(), 10);
-    (0..20).for_each(|_| budget.success());
+    (0..20).for_each(|_| budget.record_success());
     assert_eq!((0..20).filter(|_| budget.take()).count(), 2);
 }
 
 #[test]
 fn meter_refills_at_its_rate_and_returns_the_retry_delay() {
-    let options = MeterOptions { rate_per_s: 10.0, burst: 2.0 };
-    let mut meter = Meter::new(options, Time::default());
-    assert!(meter.take(1.0, Time::default()).is_ok());
-    assert!(meter.take(1.0, Time::default()).is_ok());
-    assert_eq!(meter.take(1.0, Time::default()), Err(Duration::from_millis(100)));
-    assert!(meter.take(1.0, Time::from_millis(100)).is_ok());
+    let options = TokenBucketOptions { rate_per_s: 10.0, burst: 2.0 };
+    let mut token_bucket = TokenBucket::new(options, Time::default());
+    assert!(token_bucket.take(1.0, Time::default()).is_ok());
+    assert!(token_bucket.take(1.0, Time::default()).is_ok());
+    assert_eq!(token_bucket.take(1.0, Time::default()), Err(Duration::from_millis(100)));
+    assert!(token_bucket.take(1.0, Time::from_millis(100)).is_ok());
     // A clock that steps back refills nothing.
-    assert!(meter.take(1.0, Time::from_millis(50)).is_err());
+    assert!(token_bucket.take(1.0, Time::from_millis(50)).is_err());
 }
 
 #[test]
--- a/crates/tansyknot-policy/tests/overload.rs
+++ b/crates/tansyknot-policy/tests/overload.rs
@@ -27,8 +27,8 @@
     let zone = ZoneName::from("z0");
     let options = PoolOptions {
         availability_zone: zone.clone(),
-        per_upstream: PER_UPSTREAM,
-        waiting_max: 10_000,
+        max_in_flight_per_upstream: PER_UPSTREAM,
+        max_waiting: 10_000,
     };
     let mut pool = Pool::new(options);
     let upstreams: Vec<Upstream> = (0..UPSTREAMS)
@@ -229,7 +229,7 @@
                 }
                 Op::Leave(at) if !waiting.is_empty() => {
                     let ticket = waiting.swap_remove(at % waiting.len());
-                    prop_assert!(pool.leave(ticket));
+                    prop_assert!(pool.cancel(ticket));
                 }
                 Op::Close(at) => pool.close(&TargetName::new(format!("t{at}"))),
                 Op::Open => {
--- a/crates/tansyknot-standins/examples/capacity/config.rs
+++ b/crates/tansyknot-standins/examples/capacity/config.rs
@@ -4,7 +4,7 @@
 
 use tansyknot_config::{
     object::{Adapter, Object},
-    store::{Op, Store},
+    objects_in_force::{ConfigObjects, ObjectChange},
 };
 use tansyknot_control::config::{self, Author, ConfigView};
 use tansyknot_core::{
@@ -24,10 +24,10 @@
     })
 }
 
-fn store(count: usize, objects: &[Object]) -> Store {
-    let mut store = Store::default();
+fn store(count: usize, objects: &[Object]) -> ConfigObjects {
+    let mut store = ConfigObjects::default();
     for object in &objects[..count] {
-        store.apply(&Op::Put(object.clone()), 1);
+        store.apply(&ObjectChange::Put(object.clone()), 1);
     }
     store.raise_version(1);
     store
@@ -73,7 +73,7 @@
     let author = Author { name: "bench".to_owned(), at_ms: 0 };
     // The limit on the changes of a version protects the table service, so the objects need
     // several versions.
-    let ops: Vec<Op> = objects[..count].iter().cloned().map(Op::Put).collect();
+    let ops: Vec<ObjectChange> = objects[..count].iter().cloned().map(ObjectChange::Put).collect();
     for (version, batch) in ops.chunks(config::MAX_OPS).enumerate() {
         config::apply(&table, version as u64, batch, &author).expect("no other change is made");
     }
@@ -85,7 +85,7 @@
 fn apply_change(table: &FakeTable, i: usize) {
     let (head, _) = config::read_head(table).expect("the table is up");
     let author = Author { name: "bench".to_owned(), at_ms: 0 };
-    config::apply(table, head.version, &[Op::Put(adapter(i % 900))], &author)
+    config::apply(table, head.version, &[ObjectChange::Put(adapter(i % 900))], &author)
         .expect("no other change is made");
 }
 
@@ -108,8 +108,8 @@
     const LARGEST_FIRST: &[usize] = &[59_000, 16_000, 4000, 1000];
     slope::measure("configuration in memory", "objects", "bytes", LARGEST_FIRST, |n| {
         let (bytes, store) = slope::memory_growth(|| {
-            let mut store = Store::default();
-            (0..n).for_each(|i| store.apply(&Op::Put(adapter(i)), 1));
+            let mut store = ConfigObjects::default();
+            (0..n).for_each(|i| store.apply(&ObjectChange::Put(adapter(i)), 1));
             store
         });
         std::mem::forget(store);
--- a/crates/tansyknot-standins/examples/capacity/members.rs
+++ b/crates/tansyknot-standins/examples/capacity/members.rs
@@ -9,8 +9,8 @@
     peer::Peers,
 };
 use tansyknot_gossip::{
-    members::{Members, MembersOptions, Myself, Outgoing},
-    message::{self, Envelope, Liveness, Message, Update, UseEntry},
+    members::{LocalMember, Members, MembersOptions, Outgoing},
+    message::{self, Envelope, Liveness, MemberUpdate, Message, UseEntry},
     node::Node,
 };
 
@@ -18,12 +18,12 @@
 
 const DAEMONS: &[usize] = &[10, 40, 160, 340];
 
-fn update(i: usize) -> Update {
-    Update {
+fn update(i: usize) -> MemberUpdate {
+    MemberUpdate {
         daemon: DaemonName::new(format!("region-{}-daemon-{i:03}", i % 6)),
         address: address(i),
         availability_zone: ZoneName::new(format!("zone-{}", i % 14)),
-        number: 1_700_000_000_000,
+        incarnation: 1_700_000_000_000,
         liveness: Liveness::Alive,
     }
 }
@@ -32,13 +32,13 @@
     ([10, 0, (i / 250) as u8, (i % 250) as u8], 7102).into()
 }
 
-fn myself(i: usize, address: SocketAddr) -> Myself {
+fn myself(i: usize, address: SocketAddr) -> LocalMember {
     let update = update(i);
-    Myself {
+    LocalMember {
         daemon: update.daemon,
         address,
         availability_zone: update.availability_zone,
-        number: update.number,
+        incarnation: update.incarnation,
     }
 }
 
@@ -157,7 +157,7 @@
     slope::measure("membership in memory", "members", "bytes", MEMBERS, |n| {
         let (bytes, members) = slope::memory_growth(|| {
             let mut members = Members::new(myself(0, address(0)), MembersOptions::default());
-            let updates = (0..n).map(|i| Update {
+            let updates = (0..n).map(|i| MemberUpdate {
                 daemon: DaemonName::new(format!("region-{}-daemon-{i:05}", i % 6)),
                 ..update(i % 250)
             });
--- a/crates/tansyknot-standins/examples/capacity/replicas.rs
+++ b/crates/tansyknot-standins/examples/capacity/replicas.rs
@@ -3,7 +3,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tansyknot_config::{document, store::Op};
+use tansyknot_config::{document, objects_in_force::ObjectChange};
 use tansyknot_control::{
     config::{self, Author, ConfigView},
     directory::Directory,
@@ -92,7 +92,7 @@
         ));
     }
     let objects = document::read(&text, "bench").expect("the objects are valid");
-    let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
+    let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
     let author = Author { name: "bench".to_owned(), at_ms: 0 };
     for (version, batch) in ops.chunks(config::MAX_OPS).enumerate() {
         config::apply(table, version as u64, batch, &author).expect("no other change is made");
@@ -121,7 +121,11 @@
         let deadline = self.clock.now() + Duration::from_secs(600);
         let ask = Ask { service, waiter: Waiter { rank: 0, deadline }, prefix: None, avoid: &[] };
         let zone = ZoneName::from("zone-0");
-        let options = PoolOptions { availability_zone: zone, per_upstream: 64, waiting_max: 100 };
+        let options = PoolOptions {
+            availability_zone: zone,
+            max_in_flight_per_upstream: 64,
+            max_waiting: 100,
+        };
         drop(self.pools.acquire(&ask, options));
     }
 
--- a/crates/tansyknot-standins/src/engine.rs
+++ b/crates/tansyknot-standins/src/engine.rs
@@ -2,8 +2,8 @@
 
 pub mod cache;
 pub mod models;
+pub mod permits;
 pub mod streams;
-pub mod turns;
 
 use std::{
     io,
@@ -27,10 +27,10 @@
 use self::{
     cache::Cache,
     models::{Models, OrderError},
+    permits::PermitQueue,
     streams::{Streams, TokenStream},
-    turns::PermitQueue,
 };
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Options of an engine.
 #[derive(Clone, Debug)]
@@ -199,7 +199,7 @@
     }
 
     /// Returns the executed requests.
-    pub fn ran(&self) -> ExecutedRequests {
+    pub fn executed_requests(&self) -> ExecutedRequests {
         self.executed.lock().expect("no holder of the lock panics").clone()
     }
 
@@ -258,7 +258,7 @@
     ) -> io::Result<After> {
         let result = match req.head.path.as_str() {
             "/control/status" => return server::json(stream, after, 200, &self.status()),
-            "/control/ran" => return server::json(stream, after, 200, &self.ran()),
+            "/control/ran" => return server::json(stream, after, 200, &self.executed_requests()),
             "/control/peaks" => return server::json(stream, after, 200, &self.models.peaks()),
             "/control/cache-events" => {
                 let after_seq = server::query_param(req, "after").parse().unwrap_or(0);
@@ -445,7 +445,10 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr, options: EngineOptions) -> io::Result<(Running, Arc<Engine>)> {
+pub fn start(
+    address: SocketAddr,
+    options: EngineOptions,
+) -> io::Result<(RunningServer, Arc<Engine>)> {
     let engine = Arc::new(Engine::new(options));
     let running = server::start(address, Arc::new(EngineHandler(Arc::clone(&engine))))?;
     Ok((running, engine))
--- a/crates/tansyknot-standins/src/fake.rs
+++ b/crates/tansyknot-standins/src/fake.rs
@@ -42,7 +42,7 @@
 pub type BeforeCommit = Box<dyn FnOnce() + Send>;
 
 /// A connection to a fake of the table service. Clones share rows and faults. A connection from
-/// [`FakeTable::another_path`] shares only the rows, like a daemon with its own network path.
+/// [`FakeTable::new_connection`] shares only the rows, like a daemon with its own network path.
 #[derive(Clone, Default)]
 pub struct FakeTable {
     /// The rows, shared by all connections.
@@ -55,18 +55,18 @@
 impl FakeTable {
     /// Creates a connection to the rows of a table, which may also have a server.
     #[must_use]
-    pub fn over(state: &Arc<TableState>) -> Self {
+    pub fn with_state(state: &Arc<TableState>) -> Self {
         Self { state: Arc::clone(state), ..Self::default() }
     }
 
     /// Creates another connection to the same rows, with its own faults.
     #[must_use]
-    pub fn another_path(&self) -> Self {
-        Self::over(&self.state)
+    pub fn new_connection(&self) -> Self {
+        Self::with_state(&self.state)
     }
 
     /// Makes the table unreachable over this connection, or reachable again.
-    pub fn set_down(&self, down: bool) {
+    pub fn set_unreachable(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
     }
 
@@ -156,7 +156,7 @@
     held: Mutex<Vec<HeldOrder>>,
     clock: OnceLock<ManualClock>,
     hold: AtomicBool,
-    silent: Mutex<Vec<TargetName>>,
+    unresponsive: Mutex<Vec<TargetName>>,
     lose_replies: AtomicBool,
 }
 
@@ -173,7 +173,7 @@
     }
 
     /// Delivers the held orders and returns the replies of the engines.
-    pub fn deliver_held(&self) -> Vec<Result<()>> {
+    pub fn deliver_held_loads(&self) -> Vec<Result<()>> {
         let held: Vec<_> =
             self.held.lock().expect("no holder of the lock panics").drain(..).collect();
         held.into_iter().map(|h| self.begin_load(&h.target, &h.order)).collect()
@@ -186,7 +186,7 @@
     }
 
     /// Drops held orders that were sent at least `lifetime` ago, as their connections are closed.
-    pub fn drop_old_orders(&self, lifetime: Duration) {
+    pub fn drop_held_older_than(&self, lifetime: Duration) {
         let now = self.now();
         let mut held = self.held.lock().expect("no holder of the lock panics");
         held.retain(|h| now.since(h.sent) < lifetime);
@@ -202,11 +202,12 @@
     }
 
     /// Makes an engine unresponsive, or responsive again.
-    pub fn set_silent(&self, target: &TargetName, silent: bool) {
-        let mut silent_targets = self.silent.lock().expect("no holder of the lock panics");
-        silent_targets.retain(|t| t != target);
-        if silent {
-            silent_targets.push(target.clone());
+    pub fn set_unresponsive(&self, target: &TargetName, unresponsive: bool) {
+        let mut unresponsive_targets =
+            self.unresponsive.lock().expect("no holder of the lock panics");
+        unresponsive_targets.retain(|t| t != target);
+        if unresponsive {
+            unresponsive_targets.push(target.clone());
         }
     }
 
@@ -232,12 +233,12 @@
     }
 
     /// Returns the number of engines that have the model of a service in any state.
-    pub fn loaded(&self, service: &ServiceName) -> usize {
+    pub fn engines_with_model(&self, service: &ServiceName) -> usize {
         self.all().iter().filter(|m| m.status().model(service).is_some()).count()
     }
 
     /// Returns the maximum values over the engines.
-    pub fn observed(&self) -> ObservedMaxima {
+    pub fn maxima(&self) -> ObservedMaxima {
         self.observed.lock().expect("no holder of the lock panics").clone()
     }
 
@@ -247,11 +248,11 @@
     }
 
     fn connect(&self, target: &Target) -> Result<Arc<Models>> {
-        let silent = self.silent.lock().expect("no holder of the lock panics");
-        if silent.contains(&target.name) {
+        let unresponsive = self.unresponsive.lock().expect("no holder of the lock panics");
+        if unresponsive.contains(&target.name) {
             return Err(Error::unknown("engine", "no reply"));
         }
-        drop(silent);
+        drop(unresponsive);
         let engines = self.engines.lock().expect("no holder of the lock panics");
         let found = engines.get(&target.name).cloned();
         found.ok_or_else(|| Error::unreachable("engine", "gone"))
@@ -265,7 +266,7 @@
     }
 
     fn observe(&self, service: &ServiceName, target: &TargetName, models: &Models) {
-        let replicas = self.loaded(service);
+        let replicas = self.engines_with_model(service);
         let used = models.status().used_bytes;
         let mut observed = self.observed.lock().expect("no holder of the lock panics");
         let max = observed.replicas.entry(service.clone()).or_default();
--- a/crates/tansyknot-standins/src/hosts.rs
+++ b/crates/tansyknot-standins/src/hosts.rs
@@ -17,7 +17,7 @@
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the list can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     }
 
     /// Sets the state of a target, or removes the target from the list if `state` is `None`.
-    pub fn mark(&self, name: &TargetName, state: Option<HostState>) {
+    pub fn set_state(&self, name: &TargetName, state: Option<HostState>) {
         let mut changes = self.changes.lock().expect("no holder of the lock panics");
         let mut targets = changes.last().map(|c| c.targets.clone()).unwrap_or_default();
         match state {
@@ -114,7 +114,7 @@
             }
             ("POST", "/mark") => {
                 let request: MarkRequest = server::parse_body(&req)?;
-                self.mark(&request.target, request.state);
+                self.set_state(&request.target, request.state);
                 server::json(stream, after, 200, &())
             }
             _ => server::json(stream, after, 404, &"no such page"),
@@ -127,7 +127,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<HostsState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<HostsState>)> {
     let state = Arc::new(HostsState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknot-standins/src/plain.rs
+++ b/crates/tansyknot-standins/src/plain.rs
@@ -15,7 +15,7 @@
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the service can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
 
 impl PlainState {
     /// Returns how often a call with this body was executed.
-    pub fn runs(&self, body: &str) -> u64 {
+    pub fn executions_of(&self, body: &str) -> u64 {
         self.runs.lock().expect("no holder of the lock panics").get(body).copied().unwrap_or(0)
     }
 }
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<PlainState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<PlainState>)> {
     let state = Arc::new(PlainState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknot-standins/src/server.rs
+++ b/crates/tansyknot-standins/src/server.rs
@@ -15,13 +15,13 @@
 };
 
 /// A server of a stand-in, which runs in threads of this process and stops when dropped.
-pub struct Running {
+pub struct RunningServer {
     /// The address that the server listens on.
     pub address: SocketAddr,
     lifecycle: Arc<Lifecycle>,
 }
 
-impl Running {
+impl RunningServer {
     /// Stops accepting connections and requests.
     pub fn stop(&self) {
         self.lifecycle.drain();
@@ -31,7 +31,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         self.stop();
     }
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<Running> {
+pub fn start(address: SocketAddr, handler: Arc<dyn Handler>) -> io::Result<RunningServer> {
     let listener = TcpListener::bind(address)?;
     let address = listener.local_addr()?;
     let lifecycle = Arc::new(Lifecycle::default());
@@ -57,7 +57,7 @@
     };
     let server_lifecycle = Arc::clone(&lifecycle);
     thread::spawn(move || server::serve(&listener, &options, &handler, &server_lifecycle));
-    Ok(Running { address, lifecycle })
+    Ok(RunningServer { address, lifecycle })
 }
 
 /// Responds with a JSON document.
--- a/crates/tansyknot-standins/src/table.rs
+++ b/crates/tansyknot-standins/src/table.rs
@@ -19,7 +19,7 @@
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the table can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -221,7 +221,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<TableState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<TableState>)> {
     let state = Arc::new(TableState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknot-standins/src/weights.rs
+++ b/crates/tansyknot-standins/src/weights.rs
@@ -15,7 +15,7 @@
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Number of concurrent loads that run at full speed.
 const MAX_FULL_SPEED_LOADS: u32 = 4;
@@ -93,7 +93,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr, load_ms: u64) -> io::Result<(Running, Arc<WeightState>)> {
+pub fn start(address: SocketAddr, load_ms: u64) -> io::Result<(RunningServer, Arc<WeightState>)> {
     const LOADS_PER_S: u32 = 3;
     let state = Arc::new(WeightState::new(load_ms, LOADS_PER_S));
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
--- a/crates/tansyknot-standins/tests/engine.rs
+++ b/crates/tansyknot-standins/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, thread, time::Duration};
 
-use tansyknot_standins::engine::{cache::Cache, turns::PermitQueue};
+use tansyknot_standins::engine::{cache::Cache, permits::PermitQueue};
 
 #[test]
 fn permits_are_granted_by_priority_and_then_by_arrival() {
--- a/crates/tansyknotd/src/control.rs
+++ b/crates/tansyknotd/src/control.rs
@@ -31,7 +31,7 @@
 };
 use tansyknot_edge::watch::CallerWatch;
 use tansyknot_gossip::{
-    message::{Liveness, Update},
+    message::{Liveness, MemberUpdate},
     node::Node,
 };
 
@@ -275,7 +275,7 @@
 /// Receives datagrams and moves the membership's rounds on.
 fn peers(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    loops::every("peers", Duration::ZERO, stop, move || control.node.turn())
+    loops::every("peers", Duration::ZERO, stop, move || control.node.poll())
 }
 
 /// Takes in the daemons that the table lists.
@@ -289,12 +289,12 @@
         }
         // Without the table the members that are known stay.
         let Ok(daemons) = replicas::read_daemons(control.table.as_ref()) else { return };
-        let updates = daemons.into_iter().map(|(daemon, row)| Update {
+        let updates = daemons.into_iter().map(|(daemon, row)| MemberUpdate {
             daemon: DaemonName::from(daemon.as_str()),
             address: row.peer_address,
             availability_zone: row.availability_zone,
             // The member itself knows its number; any word of its own goes before this.
-            number: 0,
+            incarnation: 0,
             liveness: Liveness::Alive,
         });
         control.node.join(updates.collect());
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -38,7 +38,7 @@
     watch::CallerWatch,
 };
 use tansyknot_gossip::{
-    members::{MembersOptions, Myself},
+    members::{LocalMember, MembersOptions},
     node::Node,
 };
 use tansyknot_platform::{engine::HttpEngine, host::HttpHostList, table::HttpTable};
@@ -189,7 +189,7 @@
             daemon: settings.name.clone(),
             incarnation: self.incarnation.clone(),
             zone: settings.availability_zone.clone(),
-            waiting_max: settings.limits.waiting_per_service as usize,
+            max_waiting: settings.limits.waiting_per_service as usize,
             deadline_max: settings.limits.deadline_max.duration(),
         };
         Gateway::new(parts, options)
@@ -333,11 +333,11 @@
 }
 
 fn bind_node(settings: &Settings, clock: &Arc<dyn Clock>) -> io::Result<Node> {
-    let me = Myself {
+    let me = LocalMember {
         daemon: settings.name.clone(),
         address: settings.listen.peers,
         availability_zone: settings.availability_zone.clone(),
-        number: clock.wall_ms(),
+        incarnation: clock.wall_ms(),
     };
     Node::bind(me, MembersOptions::default(), Arc::clone(clock))
 }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -13,7 +13,7 @@
 };
 
 use tansyknot_adapter::{header::PlatformHeaders, runner::Runners, store::RowStore};
-use tansyknot_config::{fleet::FleetSettings, unit::Period};
+use tansyknot_config::{fleet::FleetSettings, unit::PositiveDuration};
 use tansyknot_core::{
     clock::{BootInstant, Clock, SystemClock},
     event, name,
@@ -206,7 +206,7 @@
 fn access(settings: &FleetSettings) -> AccessOptions {
     let bounds = &settings.bounds;
     let revoke_within = bounds.revoke_within.filter(|_| bounds.revoke_fail_closed);
-    let revoke_within = revoke_within.map(Period::duration);
+    let revoke_within = revoke_within.map(PositiveDuration::duration);
     AccessOptions {
         view: ViewOptions::of(revoke_within, bounds.config_within.duration()),
         window: bounds.quota_window.duration(),
--- a/crates/tansyknotd/src/operators.rs
+++ b/crates/tansyknotd/src/operators.rs
@@ -4,7 +4,7 @@
 
 use rouille::{Request, Response};
 use serde::Serialize;
-use tansyknot_config::store::ConfigVersion;
+use tansyknot_config::objects_in_force::ConfigVersion;
 use tansyknot_control::{config::ConfigView, directory::Directory, hosts::HostView, pools::Pools};
 use tansyknot_core::{
     host::Target,
--- a/crates/tansyknotd/tests/process.rs
+++ b/crates/tansyknotd/tests/process.rs
@@ -39,7 +39,8 @@
     assert!(is_whole(&stream(daemon.callers, 1)));
     let address = daemon.callers;
     let threads: Vec<_> = (0..20).map(|_| thread::spawn(move || stream(address, 200))).collect();
-    let running = || platform.engines.iter().map(|e| e.ran().requests.len()).sum::<usize>();
+    let running =
+        || platform.engines.iter().map(|e| e.executed_requests().requests.len()).sum::<usize>();
     while running() < 21 {
         thread::yield_now();
     }
@@ -59,7 +60,7 @@
     assert!(is_whole(&stream(daemon.callers, 1)));
     let address = daemon.callers;
     let cut = thread::spawn(move || stream(address, 100_000));
-    while platform.engines.iter().map(|e| e.ran().requests.len()).sum::<usize>() < 2 {
+    while platform.engines.iter().map(|e| e.executed_requests().requests.len()).sum::<usize>() < 2 {
         thread::yield_now();
     }
     daemon.signal(Signal::TERM);
@@ -95,7 +96,7 @@
     let address = first.callers;
     let call = |address| post(address, "/services/registry/x", "idempotency-key: k\r\n", "load 7");
     let cut = thread::spawn(move || call(address));
-    while platform.plain.runs("load 7") == 0 {
+    while platform.plain.executions_of("load 7") == 0 {
         thread::yield_now();
     }
     first.signal(Signal::KILL);
@@ -104,7 +105,7 @@
     platform.plain.faults.lock().expect("no panic").hold = false;
     let answer = call(second.callers);
     assert!(answer.contains("\"outcome\":\"unknown\""), "{answer}");
-    assert_eq!(platform.plain.runs("load 7"), 1);
+    assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
 
 #[test]
@@ -135,10 +136,10 @@
     let refused = call();
     assert!(refused.contains("\"code\":\"store_unavailable\""), "{refused}");
     assert!(refused.contains("\"outcome\":\"not_run\""));
-    assert_eq!(platform.plain.runs("load 7"), 0);
+    assert_eq!(platform.plain.executions_of("load 7"), 0);
     platform.table.faults.lock().expect("no panic").down = false;
     assert!(call().contains("200 OK"));
-    assert_eq!(platform.plain.runs("load 7"), 1);
+    assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
 
 #[test]
@@ -146,21 +147,25 @@
     let platform = Platform::new(Fencing::Checked);
     let daemon = platform.daemon("d0");
     assert!(is_whole(&stream(daemon.callers, 1)));
-    let at = platform.engines.iter().position(|e| !e.ran().requests.is_empty()).expect("one ran");
+    let at = platform
+        .engines
+        .iter()
+        .position(|e| !e.executed_requests().requests.is_empty())
+        .expect("one ran");
     let address = daemon.callers;
     let long = thread::spawn(move || stream(address, 300));
-    while platform.engines[at].ran().requests.len() < 2 {
+    while platform.engines[at].executed_requests().requests.len() < 2 {
         thread::yield_now();
     }
-    platform.hosts.mark(&TargetName::new(format!("e{at}")), Some(HostState::Leaving));
+    platform.hosts.set_state(&TargetName::new(format!("e{at}")), Some(HostState::Leaving));
     // Requests go on; as soon as one has been served elsewhere, none goes back.
-    while platform.engines[1 - at].ran().requests.is_empty() {
+    while platform.engines[1 - at].executed_requests().requests.is_empty() {
         stream(daemon.callers, 1);
     }
-    let before = platform.engines[at].ran().requests.len();
+    let before = platform.engines[at].executed_requests().requests.len();
     for _ in 0..5 {
         assert!(is_whole(&stream(daemon.callers, 1)));
     }
-    assert_eq!(platform.engines[at].ran().requests.len(), before);
+    assert_eq!(platform.engines[at].executed_requests().requests.len(), before);
     assert!(is_whole(&long.join().expect("no panic")));
 }
--- a/crates/tansyknotd/tests/support/mod.rs
+++ b/crates/tansyknotd/tests/support/mod.rs
@@ -15,7 +15,7 @@
 use rustix::process::{Pid, Signal};
 use tansyknot_config::{
     document,
-    store::{self, Op},
+    objects_in_force::{self, ObjectChange},
 };
 use tansyknot_control::config::{self, Author};
 use tansyknot_core::{
@@ -27,7 +27,7 @@
     fake::FakeTable,
     hosts::{self, HostsState},
     plain::{self, PlainState},
-    server::Running,
+    server::RunningServer,
     table::{self, TableState},
 };
 
@@ -71,7 +71,7 @@
     pub(crate) plain: Arc<PlainState>,
     table_address: SocketAddr,
     hosts_address: SocketAddr,
-    running: Vec<Running>,
+    running: Vec<RunningServer>,
 }
 
 fn loopback() -> SocketAddr {
@@ -105,11 +105,11 @@
             engines.push(engine);
         }
         hosts.set(targets);
-        let text = OBJECTS.replace("HASH", &store::key_hash(KEY));
+        let text = OBJECTS.replace("HASH", &objects_in_force::key_hash(KEY));
         let objects = document::read(&text, "test").expect("the test's objects are right");
-        let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
+        let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
         let author = Author { name: "test".to_owned(), at_ms: 0 };
-        let fake = FakeTable::over(&table);
+        let fake = FakeTable::with_state(&table);
         config::apply(&fake, 0, &ops, &author).expect("nobody races");
         Self { table, hosts, engines, plain, table_address, hosts_address, running }
     }
@@ -129,7 +129,7 @@
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        self.running.iter().for_each(Running::stop);
+        self.running.iter().for_each(RunningServer::stop);
     }
 }
 
