--- a/crates/tansyknot-cli/src/command/apply.rs
+++ b/crates/tansyknot-cli/src/command/apply.rs
@@ -47,7 +47,7 @@
     let ops = config::difference(&current, &objects);
     let base = args.base.unwrap_or(head.version);
     if base != head.version {
-        return Err(Failure::Conflict { won: head.version }.into());
+        return Err(Failure::Conflict { accepted: head.version }.into());
     }
     if ops.is_empty() {
         println!("version {base}: nothing to change");
@@ -110,7 +110,9 @@
     for batch in ops.chunks(config::MAX_OPS) {
         version = match config::apply(table, version, batch, &author) {
             Ok(version) => version,
-            Err(ApplyError::Lost { won }) => return Err(Failure::Conflict { won }.into()),
+            Err(ApplyError::VersionConflict { accepted }) => {
+                return Err(Failure::Conflict { accepted }.into());
+            }
             Err(e) => return Err(e).into_diagnostic(),
         };
     }
--- a/crates/tansyknot-cli/src/exit.rs
+++ b/crates/tansyknot-cli/src/exit.rs
@@ -18,11 +18,11 @@
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum Failure {
     /// Another operator's change was accepted first.
-    #[error("version {won} was accepted first; nothing of this change is in force")]
+    #[error("version {accepted} was accepted first; nothing of this change is in force")]
     #[diagnostic(help("read `tansyknot history`, then apply again"))]
     Conflict {
         /// The version that was accepted.
-        won: u64,
+        accepted: u64,
     },
     /// A daemon rejected a request.
     #[error("the daemon responded with status {status}: {text}")]
--- a/crates/tansyknot-control/src/config.rs
+++ b/crates/tansyknot-control/src/config.rs
@@ -59,10 +59,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, ThisError)]
 pub enum ApplyError {
     /// Another operator's change was accepted first.
-    #[error("version {won} was accepted meanwhile; nothing of this change is in force")]
-    Lost {
+    #[error("version {accepted} was accepted meanwhile; nothing of this change is in force")]
+    VersionConflict {
         /// The version that was accepted instead.
-        won: ConfigVersion,
+        accepted: ConfigVersion,
     },
     /// The document has more changes than one version may have.
     #[error("{count} changes are more than the {MAX_OPS} of one version; split the document")]
@@ -135,7 +135,7 @@
 ///
 /// # Errors
 ///
-/// [`ApplyError::Lost`] if a version after `base` was accepted meanwhile.
+/// [`ApplyError::VersionConflict`] if a version after `base` was accepted meanwhile.
 pub fn apply(
     table: &dyn Table,
     base: ConfigVersion,
@@ -147,7 +147,7 @@
     }
     let (head, head_row) = read_head(table)?;
     if head.version != base {
-        return Err(ApplyError::Lost { won: head.version });
+        return Err(ApplyError::VersionConflict { accepted: head.version });
     }
     let token = name::random_id();
     let txn = change_transaction(table, &head, head_row, ops, author, &token)?;
@@ -157,7 +157,7 @@
         Ok(()) => Ok(version),
         Err(Error::Conflict { .. }) => {
             let (now, _) = read_head(table)?;
-            Err(ApplyError::Lost { won: now.version })
+            Err(ApplyError::VersionConflict { accepted: now.version })
         }
         Err(e) => Err(e.into()),
     }
@@ -222,11 +222,11 @@
 
 /// The outcome of [`ConfigView::follow`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Followed {
+pub enum FollowOutcome {
     /// The table has no newer version.
     Unchanged,
     /// A newer version is in force.
-    Raised(ConfigVersion),
+    Applied(ConfigVersion),
     /// The table returned an older version, which was ignored.
     OlderIgnored(ConfigVersion),
     /// The rows read do not match the head's digest, for instance after stale reads; the next call
@@ -258,20 +258,20 @@
     /// # Errors
     ///
     /// Fails if the table does; the configuration in force then stays.
-    pub fn follow(&self, table: &dyn Table) -> Result<Followed> {
+    pub fn follow(&self, table: &dyn Table) -> Result<FollowOutcome> {
         let (head, head_row) = read_head(table)?;
         let current = self.version();
         if head.version < current {
             event::CONFIG_OLDER_IGNORED.emit(&[("read", &head.version), ("in_force", &current)]);
-            return Ok(Followed::OlderIgnored(head.version));
+            return Ok(FollowOutcome::OlderIgnored(head.version));
         }
         if current == 0 && !is_newest(table, head_row)? {
-            return Ok(Followed::OlderIgnored(head.version));
+            return Ok(FollowOutcome::OlderIgnored(head.version));
         }
         let digest = self.with(ConfigObjects::digest);
         if head.version == current && head.digest == digest {
             self.set_head_row(head_row);
-            return Ok(Followed::Unchanged);
+            return Ok(FollowOutcome::Unchanged);
         }
         let replay = current > 0
             && head.version > current
@@ -282,13 +282,13 @@
         if self.reload(table, &head)? {
             return Ok(self.record_applied(&head, head_row));
         }
-        Ok(Followed::Inconsistent)
+        Ok(FollowOutcome::Inconsistent)
     }
 
-    fn record_applied(&self, head: &Head, head_row: RowVersion) -> Followed {
+    fn record_applied(&self, head: &Head, head_row: RowVersion) -> FollowOutcome {
         self.set_head_row(head_row);
         event::CONFIG_APPLIED.emit(&[("version", &head.version)]);
-        Followed::Raised(head.version)
+        FollowOutcome::Applied(head.version)
     }
 
     fn set_head_row(&self, version: RowVersion) {
--- a/crates/tansyknot-control/src/directory.rs
+++ b/crates/tansyknot-control/src/directory.rs
@@ -21,15 +21,15 @@
 ///
 /// A cached version never decreases, in whatever order concurrent reads complete.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct ReplicaCache {
     entries: Mutex<HashMap<ServiceName, Entry>>,
 }
 
-impl Directory {
+impl ReplicaCache {
     /// Stores a row that was read or written at `now` unless the cached one is newer.
     ///
     /// Returns whether its version is higher than the cached one.
-    pub fn keep(
+    pub fn store(
         &self,
         service: &ServiceName,
         version: RowVersion,
--- a/crates/tansyknot-control/src/hosts.rs
+++ b/crates/tansyknot-control/src/hosts.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether the list has been read since the daemon started.
-    pub fn is_known(&self) -> bool {
+    pub fn has_been_read(&self) -> bool {
         self.list_state.read().expect("no holder of the lock panics").has_been_read
     }
 
--- a/crates/tansyknot-control/src/idempotency.rs
+++ b/crates/tansyknot-control/src/idempotency.rs
@@ -15,7 +15,7 @@
 /// The key prefix of [`KeyRow`]s, followed by a day number.
 pub const KEY_PREFIX: &str = "key/";
 /// The longest response body that is stored and replayed.
-pub const MAX_KEPT_ANSWER_BYTES: usize = 64 << 10;
+pub const MAX_STORED_RESPONSE_BYTES: usize = 64 << 10;
 /// Whole days that a row is retained after the day of its creation.
 pub const KEY_RETENTION_DAYS: u64 = 2;
 
@@ -28,12 +28,12 @@
     /// The request may have been sent to a target.
     Started,
     /// The request has run; its response is stored unless it is too long, not text or a stream.
-    Done(Option<KeptAnswer>),
+    Done(Option<StoredResponse>),
 }
 
 /// A stored response that is replayed to retries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
@@ -76,11 +76,11 @@
 
 /// The outcome of [`begin`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// The key is new; the request may be sent once.
     Fresh(KeyHandle),
     /// The key's request has run; holds its response, if that is stored.
-    Done(Option<KeptAnswer>),
+    Done(Option<StoredResponse>),
     /// The key's request was started and has no recorded outcome.
     Started(RequestId),
     /// The key was used for another request.
@@ -107,7 +107,7 @@
 ///
 /// Fails if the table does. If the result is unknown, the request must not be sent: the row may
 /// exist, and later uses of the key then find it started.
-pub fn begin(table: &dyn Table, key: &KeyUse<'_>) -> Result<Begin> {
+pub fn begin(table: &dyn Table, key: &KeyUse<'_>) -> Result<BeginOutcome> {
     let today = key.at_ms / DAY_MS;
     let row = KeyRow {
         request_hash: key.request_hash.to_owned(),
@@ -123,22 +123,22 @@
         .check(row_key(today + 1, key), ABSENT);
     let is_own = |r: &Row| row::decode::<KeyRow>(r).is_ok_and(|r| r.token == row.token);
     match table::commit_settled(table, &txn, &own_key, is_own) {
-        Ok(()) => Ok(Begin::Fresh(KeyHandle { row_key: own_key, row })),
+        Ok(()) => Ok(BeginOutcome::Fresh(KeyHandle { row_key: own_key, row })),
         Err(Error::Conflict { .. }) => read_existing(table, key, today),
         Err(e) => Err(e),
     }
 }
 
-fn read_existing(table: &dyn Table, key: &KeyUse<'_>, today: u64) -> Result<Begin> {
+fn read_existing(table: &dyn Table, key: &KeyUse<'_>, today: u64) -> Result<BeginOutcome> {
     for day in [today, today.saturating_sub(1), today + 1] {
         let Some(row) = table.read(&row_key(day, key))? else { continue };
         let row: KeyRow = row::decode(&row)?;
         if row.request_hash != key.request_hash {
-            return Ok(Begin::Reused);
+            return Ok(BeginOutcome::Reused);
         }
         return Ok(match row.state {
-            KeyState::Started => Begin::Started(row.request),
-            KeyState::Done(response) => Begin::Done(response),
+            KeyState::Started => BeginOutcome::Started(row.request),
+            KeyState::Done(response) => BeginOutcome::Done(response),
         });
     }
     // The read was stale, or the row was released in between: the key's state is unknown.
@@ -164,8 +164,12 @@
 ///
 /// Fails if the table does; the key then stays started, and a retry receives the error that the
 /// outcome is unknown.
-pub fn finish(table: &dyn Table, handle: &KeyHandle, response: Option<KeptAnswer>) -> Result<()> {
-    let stored = response.filter(|r| r.body.len() <= MAX_KEPT_ANSWER_BYTES);
+pub fn finish(
+    table: &dyn Table,
+    handle: &KeyHandle,
+    response: Option<StoredResponse>,
+) -> Result<()> {
+    let stored = response.filter(|r| r.body.len() <= MAX_STORED_RESPONSE_BYTES);
     let row = KeyRow { state: KeyState::Done(stored), ..handle.row.clone() };
     // Only this process writes a started row, so the write needs no condition and is idempotent.
     let txn = Transaction::default().set(handle.row_key.clone(), Some(row::encode(&row)));
--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -23,7 +23,7 @@
 
 /// The signal that ends the wait of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum WaitOutcome {
     /// The request may be sent to this target, where it is already counted as in flight.
     Granted(TargetName),
     /// The request is refused.
@@ -32,18 +32,18 @@
 
 /// The outcome of [`Pools::acquire`].
 #[derive(Debug)]
-pub enum Acquired {
+pub enum AcquireOutcome {
     /// The request may be sent to this target, where it is already counted as in flight.
     Granted(TargetName),
     /// The request waits for a signal.
-    Queued(Ticket, Receiver<Signal>),
+    Queued(Ticket, Receiver<WaitOutcome>),
     /// The request can't be served before its deadline.
     Refused(Refusal),
 }
 
 /// A request for a target.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct AcquireRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The request's rank and deadline.
@@ -71,7 +71,7 @@
 
 struct Entry {
     pool: Pool,
-    signals: HashMap<Ticket, SyncSender<Signal>>,
+    signals: HashMap<Ticket, SyncSender<WaitOutcome>>,
     upstreams_set: bool,
     last_use: Option<Time>,
 }
@@ -102,42 +102,52 @@
     /// Creates the pool of a service if it has none; returns whether its targets were ever set.
     ///
     /// Until they are, a request must not be refused for lack of targets.
-    pub fn prepare(&self, service: &ServiceName, options: &PoolOptions) -> bool {
+    pub fn ensure_pool(&self, service: &ServiceName, options: &PoolOptions) -> bool {
         let entry = self.entry_or_insert(service, options);
         let entry = entry.lock().expect("no holder of the lock panics");
         entry.upstreams_set
     }
 
     /// Requests a target; the request is granted one, queued or refused.
-    pub fn acquire(&self, ask: &Ask<'_>, options: PoolOptions) -> Acquired {
-        let entry = self.entry_or_insert(ask.service, &options);
+    pub fn acquire(
+        &self,
+        acquire_request: &AcquireRequest<'_>,
+        options: PoolOptions,
+    ) -> AcquireOutcome {
+        let entry = self.entry_or_insert(acquire_request.service, &options);
         let mut entry = entry.lock().expect("no holder of the lock panics");
         let now = self.clock.now();
         entry.pool.set_options(options);
         entry.last_use = Some(now);
         let routing = self.routing.as_ref();
-        let arrival =
-            entry.pool.arrive(now, ask.waiter, ask.prefix, ask.avoid, routing, &mut rand::rng());
+        let arrival = entry.pool.arrive(
+            now,
+            acquire_request.waiter,
+            acquire_request.prefix,
+            acquire_request.avoid,
+            routing,
+            &mut rand::rng(),
+        );
         match arrival {
-            Arrival::Granted(target) => Acquired::Granted(target),
+            Arrival::Granted(target) => AcquireOutcome::Granted(target),
             Arrival::Queued(ticket) => {
                 let (tx, rx) = mpsc::sync_channel(1);
                 entry.signals.insert(ticket, tx);
                 let is_first = entry.pool.waiting() == 1;
                 drop(entry);
                 if is_first && let Some(on_waiting) = self.on_waiting.get() {
-                    on_waiting(ask.service);
+                    on_waiting(acquire_request.service);
                 }
-                Acquired::Queued(ticket, rx)
+                AcquireOutcome::Queued(ticket, rx)
             }
-            Arrival::Refused(wait) => Acquired::Refused(overloaded(wait)),
+            Arrival::Refused(wait) => AcquireOutcome::Refused(overloaded(wait)),
         }
     }
 
     /// Removes a waiting request, for instance because its caller has disconnected.
     ///
     /// A target that was granted concurrently is released.
-    pub fn abandon(&self, service: &ServiceName, ticket: Ticket, rx: &Receiver<Signal>) {
+    pub fn abandon(&self, service: &ServiceName, ticket: Ticket, rx: &Receiver<WaitOutcome>) {
         let Some(entry) = self.entry(service) else { return };
         let granted = {
             let mut entry = entry.lock().expect("no holder of the lock panics");
@@ -145,17 +155,17 @@
             entry.signals.remove(&ticket);
             rx.recv_timeout(Duration::ZERO)
         };
-        if let Ok(Signal::Granted(target)) = granted {
+        if let Ok(WaitOutcome::Granted(target)) = granted {
             self.release(service, &target, None);
         }
     }
 
     /// Waits up to `timeout` for a signal.
-    pub fn wait(&self, rx: &Receiver<Signal>, timeout: Duration) -> Option<Signal> {
+    pub fn wait(&self, rx: &Receiver<WaitOutcome>, timeout: Duration) -> Option<WaitOutcome> {
         match rx.recv_timeout(timeout) {
             Ok(signal) => Some(signal),
             Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => Some(Signal::Refused(Refusal::later(
+            Err(RecvTimeoutError::Disconnected) => Some(WaitOutcome::Refused(Refusal::later(
                 Reason::NoCapacity,
                 Duration::from_secs(1),
                 "the queue was closed",
@@ -173,7 +183,7 @@
     }
 
     /// Records the requests in flight that a target reported with a response.
-    pub fn report(&self, service: &ServiceName, target: &TargetName, in_flight: u32) {
+    pub fn record_in_flight(&self, service: &ServiceName, target: &TargetName, in_flight: u32) {
         let now = self.clock.now();
         if let Some(entry) = self.entry(service) {
             let mut entry = entry.lock().expect("no holder of the lock panics");
@@ -182,7 +192,7 @@
     }
 
     /// Closes a target for a service until a call of [`Pools::set_upstreams`] includes it again.
-    pub fn close(&self, service: &ServiceName, target: &TargetName) {
+    pub fn close_target(&self, service: &ServiceName, target: &TargetName) {
         if let Some(entry) = self.entry(service) {
             entry.lock().expect("no holder of the lock panics").pool.close(target);
         }
@@ -230,7 +240,7 @@
     }
 
     /// Refuses every waiting request that can no longer be served before its deadline.
-    pub fn expire(&self) {
+    pub fn refuse_expired(&self) {
         let now = self.clock.now();
         for entry in self.all() {
             let mut entry = entry.1.lock().expect("no holder of the lock panics");
@@ -302,7 +312,7 @@
                 // The channel has capacity for one signal and receives only one, so this neither
                 // blocks nor fails: the receiver is dropped only after `abandon` has removed the
                 // sender.
-                let _ = tx.try_send(Signal::Granted(grant.target));
+                let _ = tx.try_send(WaitOutcome::Granted(grant.target));
             }
         }
     }
@@ -310,7 +320,7 @@
     fn refuse(&mut self, ticket: Ticket, refusal: Refusal) {
         self.pool.cancel(ticket);
         if let Some(tx) = self.signals.remove(&ticket) {
-            let _ = tx.try_send(Signal::Refused(refusal));
+            let _ = tx.try_send(WaitOutcome::Refused(refusal));
         }
     }
 }
--- a/crates/tansyknot-control/src/publish.rs
+++ b/crates/tansyknot-control/src/publish.rs
@@ -11,7 +11,7 @@
 };
 use tansyknot_policy::pool::Upstream;
 
-use crate::{config::ConfigView, directory::Directory, hosts::HostView, pools::Pools};
+use crate::{config::ConfigView, directory::ReplicaCache, hosts::HostView, pools::Pools};
 
 /// Updates the pools from the replica rows and the list of hosts.
 pub struct Publisher {
@@ -20,7 +20,7 @@
     /// The list of hosts.
     pub hosts: Arc<HostView>,
     /// The cached replica rows.
-    pub directory: Arc<Directory>,
+    pub directory: Arc<ReplicaCache>,
     /// The pools to update.
     pub pools: Arc<Pools>,
 }
--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -4,10 +4,10 @@
 //! its row and act only if the coordinator does not. When two daemons act at once, the table's
 //! compare-and-swap decides which change takes effect.
 
-mod look;
-mod place;
+mod due;
 mod report;
-mod retire;
+mod reserve;
+mod scale;
 mod slot;
 
 use std::{
@@ -39,7 +39,7 @@
 use crate::{
     claim::{Claim, Watch},
     config::ConfigView,
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::{LocalDemand, Pools},
     publish::Publisher,
@@ -65,7 +65,7 @@
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// The components that the control loop uses.
-pub struct Parts {
+pub struct ReconcilerDependencies {
     /// The table service.
     pub table: Arc<dyn Table>,
     /// The engines.
@@ -77,7 +77,7 @@
     /// The pools of this daemon.
     pub pools: Arc<Pools>,
     /// The cached replica rows.
-    pub directory: Arc<Directory>,
+    pub directory: Arc<ReplicaCache>,
     /// Publishes ready replicas to the pools.
     pub publisher: Arc<Publisher>,
     /// The other daemons.
@@ -151,7 +151,7 @@
 
 /// The control loop.
 pub struct Reconciler {
-    parts: Parts,
+    parts: ReconcilerDependencies,
     usage: Usage,
     states: Mutex<HashMap<ServiceName, Arc<Mutex<ServiceState>>>>,
     remote_demand: Mutex<HashMap<ServiceName, RemoteDemand>>,
@@ -196,7 +196,7 @@
 
 impl Reconciler {
     /// Creates a control loop that has not read any state yet.
-    pub fn new(parts: Parts) -> Self {
+    pub fn new(parts: ReconcilerDependencies) -> Self {
         Self {
             parts,
             usage: Usage::default(),
@@ -264,7 +264,7 @@
     /// Returns whether the configuration and the list of hosts have been read; before that, no
     /// decision about replicas is sound.
     fn has_initial_state(&self) -> bool {
-        self.parts.config.version() > 0 && self.parts.hosts.is_known()
+        self.parts.config.version() > 0 && self.parts.hosts.has_been_read()
     }
 
     fn step_locked(&self, service: &ServiceName, state: &mut ServiceState) -> Result<()> {
@@ -375,7 +375,7 @@
 
     /// Caches a row and publishes its ready replicas to the pools.
     fn publish(&self, service: &ServiceName, replicas: &Versioned<ReplicaRow>, now: Time) {
-        self.parts.directory.keep(service, replicas.version, &replicas.row, now);
+        self.parts.directory.store(service, replicas.version, &replicas.row, now);
         self.parts.publisher.publish(service);
     }
 
--- a/crates/tansyknot-control/src/reconcile/look.rs
+++ b/crates/tansyknot-control/src/reconcile/due.rs
@@ -101,17 +101,17 @@
     /// # Errors
     ///
     /// Fails if the table does.
-    pub fn scan(&self) -> Result<()> {
+    pub fn read_all_rows(&self) -> Result<()> {
         let now = self.parts.clock.now();
         config::scan_all(self.parts.table.as_ref(), replica::REPLICA_PREFIX, |row| {
             let (service, replicas) = replicas::decode_replicas(&row)?;
-            self.parts.directory.keep(&service, replicas.version, &replicas.row, now);
+            self.parts.directory.store(&service, replicas.version, &replicas.row, now);
             Ok(())
         })
     }
 
     /// Returns the number of cached replica rows.
-    pub fn known_rows(&self) -> usize {
+    pub fn cached_row_count(&self) -> usize {
         self.parts.directory.services().len()
     }
 }
--- a/crates/tansyknot-control/src/reconcile/retire.rs
+++ b/crates/tansyknot-control/src/reconcile/scale.rs
@@ -19,7 +19,7 @@
     staging,
 };
 
-use super::{ModelConfig, Reconciler, ServiceState, StagingState, place::ReserveOutcome};
+use super::{ModelConfig, Reconciler, ServiceState, StagingState, reserve::ReserveOutcome};
 use crate::replicas::Versioned;
 
 /// The delay before the next attempt to stage a checkpoint that no target's host holds.
--- a/crates/tansyknot-control/src/reconcile/slot.rs
+++ b/crates/tansyknot-control/src/reconcile/slot.rs
@@ -312,7 +312,7 @@
         replicas: &mut Versioned<ReplicaRow>,
         slot: &Slot,
     ) -> Result<()> {
-        if !self.parts.hosts.is_known() {
+        if !self.parts.hosts.has_been_read() {
             return Ok(());
         }
         let now = self.parts.clock.now();
--- a/crates/tansyknot-control/tests/config.rs
+++ b/crates/tansyknot-control/tests/config.rs
@@ -8,7 +8,7 @@
     object::Object,
     objects_in_force::{ConfigVersion, ObjectChange},
 };
-use tansyknot_control::config::{self, ApplyError, Author, ConfigView, Followed};
+use tansyknot_control::config::{self, ApplyError, Author, ConfigView, FollowOutcome};
 use tansyknot_core::{
     Error, Result,
     host::Fencing,
@@ -61,7 +61,7 @@
         assert_eq!(apply_one(&rival, 0, "rival"), Ok(1));
     }));
     table.script(faults.iter().copied());
-    assert_eq!(apply_one(&table, 0, "late"), Err(ApplyError::Lost { won: 1 }));
+    assert_eq!(apply_one(&table, 0, "late"), Err(ApplyError::VersionConflict { accepted: 1 }));
     let changes = config::read_changes(&table, 0, 10).expect("up");
     assert_eq!(changes.iter().map(|c| c.author.as_str()).collect::<Vec<_>>(), ["rival"]);
 }
@@ -71,7 +71,7 @@
     let table = FakeTable::default();
     apply_one(&table, 0, "a").expect("no other change was accepted");
     apply_one(&table, 1, "b").expect("no other change was accepted");
-    assert_eq!(apply_one(&table, 1, "c"), Err(ApplyError::Lost { won: 2 }));
+    assert_eq!(apply_one(&table, 1, "c"), Err(ApplyError::VersionConflict { accepted: 2 }));
 }
 
 /// A table whose scans fail if their reply has more rows than the daemon's link can transfer
@@ -104,23 +104,23 @@
     let table = FakeTable::default();
     let view = ConfigView::default();
     apply_one(&table, 0, "a").expect("no other change was accepted");
-    assert_eq!(view.follow(&table), Ok(Followed::Raised(1)));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Applied(1)));
     for base in 1..200 {
         apply_one(&table, base, "a").expect("no other change was accepted");
     }
     let limited = LimitedTable { table: table.new_connection(), max_rows: 50 };
-    assert_eq!(view.follow(&limited), Ok(Followed::Raised(200)));
+    assert_eq!(view.follow(&limited), Ok(FollowOutcome::Applied(200)));
 }
 
 #[test]
 fn every_version_is_followed_in_order() {
     let table = FakeTable::default();
     let view = ConfigView::default();
-    assert_eq!(view.follow(&table), Ok(Followed::Unchanged));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Unchanged));
     for version in 1..=5 {
         apply_one(&table, version - 1, &format!("a{version}"))
             .expect("no other change was accepted");
-        assert_eq!(view.follow(&table), Ok(Followed::Raised(version)));
+        assert_eq!(view.follow(&table), Ok(FollowOutcome::Applied(version)));
     }
     assert_eq!(view.with(|s| s.adapters().count()), 5);
 }
@@ -134,12 +134,12 @@
         apply_one_fresh(&table, version - 1, &format!("a{version}"));
     }
     table.set_stale(0);
-    assert_eq!(view.follow(&table), Ok(Followed::Raised(4)));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Applied(4)));
     table.set_stale(2);
-    assert_eq!(view.follow(&table), Ok(Followed::OlderIgnored(2)));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::OlderIgnored(2)));
     assert_eq!(view.version(), 4);
     table.set_stale(0);
-    assert_eq!(view.follow(&table), Ok(Followed::Unchanged));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Unchanged));
 }
 
 /// Applies a change with current reads while the table serves stale reads otherwise.
@@ -158,10 +158,10 @@
         apply_one_fresh(&table, version - 1, &format!("a{version}"));
     }
     let restarted = ConfigView::default();
-    assert_eq!(restarted.follow(&table), Ok(Followed::OlderIgnored(2)));
+    assert_eq!(restarted.follow(&table), Ok(FollowOutcome::OlderIgnored(2)));
     assert_eq!(restarted.version(), 0);
     table.set_stale(0);
-    assert_eq!(restarted.follow(&table), Ok(Followed::Raised(3)));
+    assert_eq!(restarted.follow(&table), Ok(FollowOutcome::Applied(3)));
 }
 
 #[test]
@@ -189,7 +189,7 @@
     for version in 1..=450 {
         apply_one(&table, version, &format!("a{version}")).expect("no other change was accepted");
     }
-    assert_eq!(view.follow(&table), Ok(Followed::Raised(451)));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Applied(451)));
     assert_eq!(view.with(|s| s.adapters().count()), 451);
 }
 
@@ -203,7 +203,7 @@
     apply_one(&table, 2, "c").expect("no other change was accepted");
     let lost = Transaction::default().set(config::change_key(2), None);
     table.commit(&lost).expect("up");
-    assert_eq!(view.follow(&table), Ok(Followed::Raised(3)));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Applied(3)));
     assert_eq!(view.with(|s| s.adapters().count()), 3);
 }
 
@@ -216,7 +216,7 @@
     let lagging = Transaction::default().set("config/object/adapter/b", None);
     table.commit(&lagging).expect("up");
     let view = ConfigView::default();
-    assert_eq!(view.follow(&table), Ok(Followed::Inconsistent));
+    assert_eq!(view.follow(&table), Ok(FollowOutcome::Inconsistent));
     assert_eq!(view.version(), 0);
 }
 
@@ -266,9 +266,9 @@
             adapter(&name)
         };
         config::apply(&table, version, &[op], &author("x")).expect("no other change was accepted");
-        assert_eq!(step.follow(&table), Ok(Followed::Raised(version + 1)));
+        assert_eq!(step.follow(&table), Ok(FollowOutcome::Applied(version + 1)));
     }
-    assert_eq!(late.follow(&table), Ok(Followed::Raised(60)));
+    assert_eq!(late.follow(&table), Ok(FollowOutcome::Applied(60)));
     let fresh = ConfigView::default();
     fresh.follow(&table).expect("up");
     let objects = |view: &ConfigView| view.with(|s| s.objects());
--- a/crates/tansyknot-control/tests/idempotency.rs
+++ b/crates/tansyknot-control/tests/idempotency.rs
@@ -1,6 +1,6 @@
 //! Idempotency keys: at most one run for each key, under lost messages and concurrent retries.
 
-use tansyknot_control::idempotency::{self, Begin, KeptAnswer, KeyUse};
+use tansyknot_control::idempotency::{self, BeginOutcome, KeyUse, StoredResponse};
 use tansyknot_core::name::{CallerName, Incarnation, RequestId};
 use tansyknot_standins::fake::{CommitFault, FakeTable};
 use yare::parameterized;
@@ -26,7 +26,7 @@
         }
     }
 
-    fn begin(&self, table: &FakeTable) -> tansyknot_core::Result<Begin> {
+    fn begin(&self, table: &FakeTable) -> tansyknot_core::Result<BeginOutcome> {
         let key = KeyUse {
             caller: &self.caller,
             key_hash: "k",
@@ -39,15 +39,15 @@
     }
 }
 
-fn expect_fresh(begin: tansyknot_core::Result<Begin>) -> idempotency::KeyHandle {
+fn expect_fresh(begin: tansyknot_core::Result<BeginOutcome>) -> idempotency::KeyHandle {
     match begin {
-        Ok(Begin::Fresh(handle)) => handle,
+        Ok(BeginOutcome::Fresh(handle)) => handle,
         other => panic!("expected a first use of the key, got {other:?}"),
     }
 }
 
-fn response() -> KeptAnswer {
-    KeptAnswer { status: 200, content_type: "text/plain".to_owned(), body: "done".to_owned() }
+fn response() -> StoredResponse {
+    StoredResponse { status: 200, content_type: "text/plain".to_owned(), body: "done".to_owned() }
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let table = FakeTable::default();
     let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     let second = KeyedRequest::new("d1", "r1").begin(&table.new_connection());
-    assert_eq!(second, Ok(Begin::Started(RequestId::from("r0"))));
+    assert_eq!(second, Ok(BeginOutcome::Started(RequestId::from("r0"))));
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     idempotency::finish(&table, &first, Some(response())).expect("up");
     let second = KeyedRequest::new("d1", "r1").begin(&table);
-    assert_eq!(second, Ok(Begin::Done(Some(response()))));
+    assert_eq!(second, Ok(BeginOutcome::Done(Some(response()))));
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let table = FakeTable::default();
     let _first = expect_fresh(KeyedRequest::new("d0", "r0").begin(&table));
     let other = KeyedRequest { body: "other", ..KeyedRequest::new("d1", "r1") };
-    assert_eq!(other.begin(&table), Ok(Begin::Reused));
+    assert_eq!(other.begin(&table), Ok(BeginOutcome::Reused));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     // A late release by the first user of the key must not release the second use.
     idempotency::release(&table, &first).expect("up");
     let third = KeyedRequest::new("d2", "r2").begin(&table);
-    assert_eq!(third, Ok(Begin::Started(RequestId::from("r1"))));
+    assert_eq!(third, Ok(BeginOutcome::Started(RequestId::from("r1"))));
 }
 
 #[parameterized(
@@ -106,7 +106,8 @@
     table.script([fault]);
     let first = KeyedRequest::new("d0", "r0").begin(&table);
     let second = KeyedRequest::new("d1", "r1").begin(&table.new_connection());
-    let is_fresh = |b: &tansyknot_core::Result<Begin>| matches!(b, Ok(Begin::Fresh(_)));
+    let is_fresh =
+        |b: &tansyknot_core::Result<BeginOutcome>| matches!(b, Ok(BeginOutcome::Fresh(_)));
     assert_eq!(is_fresh(&first), first_is_fresh);
     assert_eq!(is_fresh(&second), !first_is_fresh);
 }
@@ -118,7 +119,7 @@
     table.script([CommitFault::LostRequest, CommitFault::Unreachable]);
     assert!(idempotency::finish(&table, &first, Some(response())).is_err());
     let second = KeyedRequest::new("d1", "r1").begin(&table);
-    assert_eq!(second, Ok(Begin::Started(RequestId::from("r0"))));
+    assert_eq!(second, Ok(BeginOutcome::Started(RequestId::from("r0"))));
 }
 
 #[parameterized(
@@ -132,7 +133,7 @@
     let other = KeyedRequest { at_ms: second_ms, ..KeyedRequest::new("d1", "r1") };
     table.set_before_commit(Box::new(move || drop(expect_fresh(other.begin(&rival)))));
     let first = KeyedRequest { at_ms: first_ms, ..KeyedRequest::new("d0", "r0") }.begin(&table);
-    assert_eq!(first, Ok(Begin::Started(RequestId::from("r1"))));
+    assert_eq!(first, Ok(BeginOutcome::Started(RequestId::from("r1"))));
 }
 
 #[test]
@@ -143,5 +144,5 @@
     let _new = expect_fresh(new.begin(&table));
     assert_eq!(idempotency::sweep(&table, 102 * DAY_MS, 10), Ok(0));
     assert_eq!(idempotency::sweep(&table, 103 * DAY_MS, 10), Ok(1));
-    assert_eq!(new.begin(&table), Ok(Begin::Started(RequestId::from("r1"))));
+    assert_eq!(new.begin(&table), Ok(BeginOutcome::Started(RequestId::from("r1"))));
 }
--- a/crates/tansyknot-control/tests/replicas.rs
+++ b/crates/tansyknot-control/tests/replicas.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use support::{Daemon, GB, World};
-use tansyknot_control::pools::{Acquired, Signal};
+use tansyknot_control::pools::{AcquireOutcome, WaitOutcome};
 use tansyknot_core::{
     host::{Fencing, HostState},
     name::{ServiceName, TargetName},
@@ -448,12 +448,12 @@
     let world = World::new(memory_gb, Fencing::Checked);
     world.apply(max);
     let daemon = world.daemon("d0");
-    let Acquired::Queued(_, rx) = daemon.request(&world, "permit") else {
+    let AcquireOutcome::Queued(_, rx) = daemon.request(&world, "permit") else {
         panic!("the pool must queue the request");
     };
     daemon.step("permit").expect("the table is up");
     let signal = daemon.pools.wait(&rx, std::time::Duration::ZERO);
-    let Some(Signal::Refused(refusal)) = signal else {
+    let Some(WaitOutcome::Refused(refusal)) = signal else {
         panic!("the request was not refused: {signal:?}")
     };
     assert_eq!(refusal.reason, reason);
@@ -465,13 +465,13 @@
     let world = World::new(&[80], Fencing::Checked);
     world.apply(1);
     let daemon = world.daemon("d0");
-    let Acquired::Queued(_, rx) = daemon.request(&world, "permit") else {
+    let AcquireOutcome::Queued(_, rx) = daemon.request(&world, "permit") else {
         panic!("the pool must queue the request");
     };
     daemon.table.set_unreachable(true);
     assert!(daemon.step("permit").is_err());
     let signal = daemon.pools.wait(&rx, std::time::Duration::ZERO);
-    let Some(Signal::Refused(refusal)) = signal else {
+    let Some(WaitOutcome::Refused(refusal)) = signal else {
         panic!("the request was not refused: {signal:?}")
     };
     assert_eq!(refusal.reason, Reason::StoreUnavailable);
--- a/crates/tansyknot-control/tests/support/mod.rs
+++ b/crates/tansyknot-control/tests/support/mod.rs
@@ -6,11 +6,11 @@
 use tansyknot_config::{document, objects_in_force::ObjectChange};
 use tansyknot_control::{
     config::{self, Author, ConfigView},
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
-    pools::{Acquired, Ask, Pools},
+    pools::{AcquireOutcome, AcquireRequest, Pools},
     publish::Publisher,
-    reconcile::{Parts, Reconciler},
+    reconcile::{Reconciler, ReconcilerDependencies},
     replicas,
 };
 use tansyknot_core::{
@@ -115,7 +115,7 @@
         let hosts = Arc::new(HostView::default());
         let config = Arc::new(ConfigView::default());
         let pools = Arc::new(Pools::new(Box::new(ZoneTwoChoices::default()), Arc::clone(&clock)));
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         let publisher = Arc::new(Publisher {
             config: Arc::clone(&config),
             hosts: Arc::clone(&hosts),
@@ -130,7 +130,7 @@
             availability_zone: ZoneName::from("z0"),
         };
         replicas::register_daemon(&self.table, name, &row).expect("the table is up");
-        let reconciler = Reconciler::new(Parts {
+        let reconciler = Reconciler::new(ReconcilerDependencies {
             table: Arc::new(table.clone()) as Arc<dyn Table>,
             engine: Arc::clone(&self.engines) as Arc<dyn Engine>,
             hosts: Arc::clone(&hosts),
@@ -172,16 +172,16 @@
     }
 
     /// Requests a target for `service` with a deadline in 60 s.
-    pub(crate) fn request(&self, world: &World, service: &str) -> Acquired {
+    pub(crate) fn request(&self, world: &World, service: &str) -> AcquireOutcome {
         let service = ServiceName::from(service);
         let deadline = world.clock.now() + Duration::from_secs(60);
-        let ask = Ask {
+        let acquire_request = AcquireRequest {
             service: &service,
             waiter: Waiter { rank: 0, deadline },
             prefix: None,
             avoid: &[],
         };
-        self.pools.acquire(&ask, pool_options())
+        self.pools.acquire(&acquire_request, pool_options())
     }
 
     pub(crate) fn step(&self, service: &str) -> tansyknot_core::Result<()> {
--- a/crates/tansyknot-edge/src/gateway.rs
+++ b/crates/tansyknot-edge/src/gateway.rs
@@ -1,9 +1,9 @@
 //! The request pipeline, from the head of a request to the record of its end.
 
-mod answers;
+mod attempts;
 mod keys;
-mod pages;
-mod tries;
+mod local_responses;
+mod responses;
 
 use std::{
     collections::HashMap,
@@ -45,9 +45,9 @@
 };
 
 /// Orders to engines that the pipeline issues while it processes requests.
-pub trait Replicas: Send + Sync {
+pub trait EngineOrders: Send + Sync {
     /// Reports that an engine does not have a model that is ready according to its replica row.
-    fn not_loaded(&self, service: &ServiceName);
+    fn report_not_loaded(&self, service: &ServiceName);
 
     /// Makes the engine on `target` cancel an attempt whose caller has left.
     fn cancel(&self, target: &Target, attempt: &AttemptId);
@@ -66,7 +66,7 @@
 }
 
 /// The dependencies of the pipeline.
-pub struct Parts {
+pub struct GatewayDependencies {
     /// The configuration in force.
     pub config: Arc<ConfigView>,
     /// The list of hosts.
@@ -78,7 +78,7 @@
     /// The table service, for idempotency keys.
     pub table: Arc<dyn Table>,
     /// Issues orders to engines.
-    pub replicas: Arc<dyn Replicas>,
+    pub replicas: Arc<dyn EngineOrders>,
     /// The recorder of metrics.
     pub recorder: Arc<dyn Recorder>,
     /// The clock.
@@ -108,7 +108,7 @@
 
 /// The request pipeline.
 pub struct Gateway {
-    parts: Parts,
+    parts: GatewayDependencies,
     options: GatewayOptions,
     callers: CallerGate,
     target_retries: Mutex<HashMap<TargetName, RetryBudget>>,
@@ -144,7 +144,7 @@
 
 impl Gateway {
     /// Creates the pipeline.
-    pub fn new(parts: Parts, options: GatewayOptions) -> Self {
+    pub fn new(parts: GatewayDependencies, options: GatewayOptions) -> Self {
         Self {
             parts,
             options,
--- a/crates/tansyknot-edge/src/gateway/tries.rs
+++ b/crates/tansyknot-edge/src/gateway/attempts.rs
@@ -161,7 +161,7 @@
         let outcome = match attempt::send(self.agent(req), &attempt) {
             Ok(response) => {
                 if let Some(in_flight) = attempt::reported_in_flight(&response) {
-                    self.parts.pools.report(&req.service, &target.name, in_flight);
+                    self.parts.pools.record_in_flight(&req.service, &target.name, in_flight);
                 }
                 self.relay(active, &attempt, response)
             }
@@ -200,10 +200,10 @@
         ]);
         match failure {
             Failure::NotLoaded => {
-                self.parts.pools.close(&req.service, target);
-                self.parts.replicas.not_loaded(&req.service);
+                self.parts.pools.close_target(&req.service, target);
+                self.parts.replicas.report_not_loaded(&req.service);
             }
-            Failure::NotSent => self.parts.pools.close(&req.service, target),
+            Failure::NotSent => self.parts.pools.close_target(&req.service, target),
             Failure::RefusedToStart | Failure::TimedOut | Failure::Broken => {}
         }
     }
--- a/crates/tansyknot-edge/src/gateway/keys.rs
+++ b/crates/tansyknot-edge/src/gateway/keys.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys, which are claimed before the first byte of a request is sent and updated with
 //! its outcome after the last.
 
-use tansyknot_control::idempotency::{self, KeptAnswer, KeyHandle};
+use tansyknot_control::idempotency::{self, KeyHandle, StoredResponse};
 use tansyknot_core::{
     event,
     name::RequestId,
@@ -54,7 +54,7 @@
         let table = self.parts.table.as_ref();
         let settled = match result {
             Ok(CallerResponse::Pending(whole)) => {
-                idempotency::finish(table, &handle, kept_answer(whole))
+                idempotency::finish(table, &handle, stored_response(whole))
             }
             Ok(CallerResponse::Streamed(_)) => idempotency::finish(table, &handle, None),
             Err(refusal) if refusal.outcome == Outcome::NotRun => {
@@ -69,7 +69,7 @@
     }
 }
 
-fn replay(kept: KeptAnswer, request_id: &RequestId) -> Whole {
+fn replay(kept: StoredResponse, request_id: &RequestId) -> Whole {
     Whole {
         status: kept.status,
         content_type: kept.content_type,
@@ -81,10 +81,10 @@
     }
 }
 
-fn kept_answer(whole: &Whole) -> Option<KeptAnswer> {
-    if whole.body.len() > idempotency::MAX_KEPT_ANSWER_BYTES {
+fn stored_response(whole: &Whole) -> Option<StoredResponse> {
+    if whole.body.len() > idempotency::MAX_STORED_RESPONSE_BYTES {
         return None;
     }
     let body = String::from_utf8(whole.body.clone()).ok()?;
-    Some(KeptAnswer { status: whole.status, content_type: whole.content_type.clone(), body })
+    Some(StoredResponse { status: whole.status, content_type: whole.content_type.clone(), body })
 }
--- a/crates/tansyknot-edge/src/gateway/pages.rs
+++ b/crates/tansyknot-edge/src/gateway/local_responses.rs
@@ -43,7 +43,7 @@
 
     pub(super) fn health(&self) -> Whole {
         let draining = self.parts.lifecycle.is_draining();
-        let has_state = self.parts.config.version() > 0 && self.parts.hosts.is_known();
+        let has_state = self.parts.config.version() > 0 && self.parts.hosts.has_been_read();
         let (status, body): (u16, &[u8]) = match (draining, has_state) {
             (true, _) => (503, b"draining\n"),
             (false, true) => (200, b"ok\n"),
--- a/crates/tansyknot-edge/src/stage/admit.rs
+++ b/crates/tansyknot-edge/src/stage/admit.rs
@@ -4,7 +4,7 @@
 
 use tansyknot_config::object::{Caller, CallerLimits};
 use tansyknot_config::objects_in_force;
-use tansyknot_control::idempotency::{self, Begin, KeptAnswer, KeyHandle, KeyUse};
+use tansyknot_control::idempotency::{self, BeginOutcome, KeyHandle, KeyUse, StoredResponse};
 use tansyknot_core::{
     Error,
     clock::Time,
@@ -105,7 +105,7 @@
     /// The request may be sent once.
     Run(KeyHandle),
     /// The request has run before, with this response.
-    Replay(KeptAnswer),
+    Replay(StoredResponse),
 }
 
 /// Claims the idempotency key of a request before its first byte is sent.
@@ -135,19 +135,19 @@
         at_ms,
     };
     match idempotency::begin(table, &key_use) {
-        Ok(Begin::Fresh(handle)) => Ok(KeyVerdict::Run(handle)),
-        Ok(Begin::Done(Some(response))) => Ok(KeyVerdict::Replay(response)),
-        Ok(Begin::Done(None)) => Err(Refusal::unknown(
+        Ok(BeginOutcome::Fresh(handle)) => Ok(KeyVerdict::Run(handle)),
+        Ok(BeginOutcome::Done(Some(response))) => Ok(KeyVerdict::Replay(response)),
+        Ok(BeginOutcome::Done(None)) => Err(Refusal::unknown(
             Reason::KeyInUse,
             "the first request with this key has run; its answer was too long to keep",
         )),
-        Ok(Begin::Started(first)) => Err(Refusal {
+        Ok(BeginOutcome::Started(first)) => Err(Refusal {
             reason: Reason::KeyInUse,
             outcome: Outcome::Unknown,
             retry_after: Some(KEY_RETRY_AFTER),
             detail: format!("request {first} took this key and has no recorded answer"),
         }),
-        Ok(Begin::Reused) => {
+        Ok(BeginOutcome::Reused) => {
             Err(Refusal::not_run(Reason::KeyReused, "the first request had another body or path"))
         }
         Err(e) => Err(store_refusal(&e)),
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -4,7 +4,7 @@
 use std::{net::TcpStream, sync::mpsc::Receiver, time::Duration};
 
 use tansyknot_control::{
-    pools::{Acquired, Ask, Pools, Signal},
+    pools::{AcquireOutcome, AcquireRequest, Pools, WaitOutcome},
     publish::Publisher,
 };
 use tansyknot_core::{
@@ -73,21 +73,21 @@
         avoid: &[TargetName],
         caller: &TcpStream,
     ) -> Result<Placement<'a>, Refusal> {
-        let ask = Ask {
+        let acquire_request = AcquireRequest {
             service: &req.service,
             waiter: Waiter { rank: req.rank(), deadline: req.deadline },
             prefix: req.prefix,
             avoid,
         };
         let options = self.options(req);
-        if !self.pools.prepare(&req.service, &options) {
+        if !self.pools.ensure_pool(&req.service, &options) {
             // A new pool is filled from the rows and hosts that are already known.
             self.publisher.publish(&req.service);
         }
-        match self.pools.acquire(&ask, options) {
-            Acquired::Granted(target) => Ok(self.placement(req, target, false)),
-            Acquired::Refused(refusal) => Err(refusal),
-            Acquired::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
+        match self.pools.acquire(&acquire_request, options) {
+            AcquireOutcome::Granted(target) => Ok(self.placement(req, target, false)),
+            AcquireOutcome::Refused(refusal) => Err(refusal),
+            AcquireOutcome::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
         }
     }
 
@@ -95,13 +95,13 @@
         &self,
         req: &IdentifiedRequest,
         ticket: Ticket,
-        rx: &Receiver<Signal>,
+        rx: &Receiver<WaitOutcome>,
         caller: &TcpStream,
     ) -> Result<Placement<'a>, Refusal> {
         loop {
             match self.pools.wait(rx, CALLER_POLL_INTERVAL) {
-                Some(Signal::Granted(target)) => return Ok(self.placement(req, target, true)),
-                Some(Signal::Refused(refusal)) => return Err(refusal),
+                Some(WaitOutcome::Granted(target)) => return Ok(self.placement(req, target, true)),
+                Some(WaitOutcome::Refused(refusal)) => return Err(refusal),
                 None if presence::has_left(caller) => {
                     self.pools.abandon(&req.service, ticket, rx);
                     return Err(Refusal::not_run(Reason::CallerLeft, "the caller left the queue"));
--- a/crates/tansyknot-edge/src/watch.rs
+++ b/crates/tansyknot-edge/src/watch.rs
@@ -42,7 +42,7 @@
 
     /// Checks every caller once and aborts the attempts of those that have left. Returns how many
     /// have left.
-    pub fn look(&self) -> usize {
+    pub fn check(&self) -> usize {
         let watched = self.watched.lock().expect("the lock is not poisoned");
         let departed =
             watched.values().filter(|w| !w.handle.is_aborted() && presence::has_left(&w.caller));
--- a/crates/tansyknot-edge/tests/answers.rs
+++ b/crates/tansyknot-edge/tests/answers.rs
@@ -213,7 +213,7 @@
         statuses.flat_map(|s| s.models).map(|m| m.in_flight).sum::<u32>()
     };
     while running() > 0 || daemon.pools.in_flight() > 0 {
-        daemon.watch.look();
+        daemon.watch.check();
         std::thread::yield_now();
     }
     let cancelled = daemon.orders.cancelled.lock().expect("the lock is not poisoned");
@@ -274,7 +274,7 @@
     drop(stream);
     let mut left = 0;
     while daemon.pools.in_flight() > 0 {
-        left += daemon.watch.look();
+        left += daemon.watch.check();
         std::thread::yield_now();
     }
     assert_eq!(left, 1, "the slot was not released by the watch");
--- a/crates/tansyknot-edge/tests/support/mod.rs
+++ b/crates/tansyknot-edge/tests/support/mod.rs
@@ -16,7 +16,7 @@
 };
 use tansyknot_control::{
     config::{self, Author, ConfigView},
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::Pools,
     publish::Publisher,
@@ -31,7 +31,7 @@
 };
 use tansyknot_edge::{
     explain::Explainer,
-    gateway::{Gateway, GatewayOptions, Parts, Replicas},
+    gateway::{EngineOrders, Gateway, GatewayDependencies, GatewayOptions},
     http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions},
     watch::CallerWatch,
 };
@@ -133,8 +133,8 @@
     pub(crate) cancelled: Mutex<Vec<AttemptId>>,
 }
 
-impl Replicas for RecordedOrders {
-    fn not_loaded(&self, service: &ServiceName) {
+impl EngineOrders for RecordedOrders {
+    fn report_not_loaded(&self, service: &ServiceName) {
         self.not_loaded.lock().expect("the lock is not poisoned").push(service.clone());
     }
 
@@ -215,9 +215,9 @@
         config.follow(&table).expect("the table is up");
         let hosts = Arc::new(HostView::default());
         hosts.refresh(&self.hosts, clock.now()).expect("the list is up");
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         for service in ["permit", "once-model"] {
-            directory.keep(&ServiceName::from(service), 1, &ready_row(), clock.now());
+            directory.store(&ServiceName::from(service), 1, &ready_row(), clock.now());
         }
         let pools = Arc::new(Pools::new(Box::new(ZoneTwoChoices::default()), Arc::clone(&clock)));
         let publisher = Arc::new(Publisher {
@@ -230,13 +230,13 @@
         let watch: Arc<CallerWatch> = Arc::default();
         let explainer: Arc<Explainer> = Arc::default();
         let orders: Arc<RecordedOrders> = Arc::default();
-        let parts = Parts {
+        let parts = GatewayDependencies {
             config,
             hosts,
             pools: Arc::clone(&pools),
             publisher,
             table: Arc::new(table.clone()),
-            replicas: Arc::clone(&orders) as Arc<dyn Replicas>,
+            replicas: Arc::clone(&orders) as Arc<dyn EngineOrders>,
             recorder: Arc::new(NoRecorder),
             clock,
             lifecycle: Arc::clone(&lifecycle),
--- a/crates/tansyknot-standins/examples/capacity/replicas.rs
+++ b/crates/tansyknot-standins/examples/capacity/replicas.rs
@@ -6,11 +6,11 @@
 use tansyknot_config::{document, objects_in_force::ObjectChange};
 use tansyknot_control::{
     config::{self, Author, ConfigView},
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
-    pools::{Ask, Pools},
+    pools::{AcquireRequest, Pools},
     publish::Publisher,
-    reconcile::{Parts, Reconciler},
+    reconcile::{Reconciler, ReconcilerDependencies},
     replicas,
 };
 use tansyknot_core::{
@@ -56,14 +56,14 @@
     let config = Arc::new(ConfigView::default());
     config.follow(&table).expect("the table is up");
     let pools = Arc::new(Pools::new(Box::new(ZoneTwoChoices::default()), Arc::clone(&clock)));
-    let directory = Arc::new(Directory::default());
+    let directory = Arc::new(ReplicaCache::default());
     let publisher = Arc::new(Publisher {
         config: Arc::clone(&config),
         hosts: Arc::clone(&view),
         directory: Arc::clone(&directory),
         pools: Arc::clone(&pools),
     });
-    let reconciler = Reconciler::new(Parts {
+    let reconciler = Reconciler::new(ReconcilerDependencies {
         table: Arc::new(table.clone()) as Arc<dyn Table>,
         engine: Arc::clone(&engines) as Arc<dyn Engine>,
         hosts: view,
@@ -119,14 +119,19 @@
 
     fn acquire(&self, service: &ServiceName) {
         let deadline = self.clock.now() + Duration::from_secs(600);
-        let ask = Ask { service, waiter: Waiter { rank: 0, deadline }, prefix: None, avoid: &[] };
+        let acquire_request = AcquireRequest {
+            service,
+            waiter: Waiter { rank: 0, deadline },
+            prefix: None,
+            avoid: &[],
+        };
         let zone = ZoneName::from("zone-0");
         let options = PoolOptions {
             availability_zone: zone,
             max_in_flight_per_upstream: 64,
             max_waiting: 100,
         };
-        drop(self.pools.acquire(&ask, options));
+        drop(self.pools.acquire(&acquire_request, options));
     }
 
     /// Loads the model of a service and lets it become idle until it is removed.
@@ -172,7 +177,7 @@
             let txn = Transaction::default().set(key, Some(row));
             setup.table.commit(&txn).expect("the table is up");
         }
-        setup.reconciler.scan().expect("the table is up");
+        setup.reconciler.read_all_rows().expect("the table is up");
         setup.reconciler.due();
         slope::average_micros(20, || {
             setup.clock.advance(Duration::from_secs(1));
@@ -226,11 +231,11 @@
         "bytes",
         LARGEST_FIRST,
         |n| {
-            let directory = Directory::default();
+            let directory = ReplicaCache::default();
             let (bytes, ()) = slope::memory_growth(|| {
                 for i in 0..n {
                     let service = Setup::service(i);
-                    directory.keep(
+                    directory.store(
                         &service,
                         1,
                         &ready_row(i),
--- a/crates/tansyknotd/src/control.rs
+++ b/crates/tansyknotd/src/control.rs
@@ -11,7 +11,7 @@
 
 use tansyknot_config::settings::Refresh;
 use tansyknot_control::{
-    config::{ConfigView, Followed},
+    config::{ConfigView, FollowOutcome},
     hosts::HostView,
     idempotency,
     pools::Pools,
@@ -177,7 +177,7 @@
     loops::every("config", refresh.config.duration(), stop, move || {
         let followed = control.config.follow(control.table.as_ref());
         table.note(&followed);
-        if matches!(followed, Ok(Followed::Raised(_))) {
+        if matches!(followed, Ok(FollowOutcome::Applied(_))) {
             // A rule may now choose other targets for plain services.
             control.publisher.publish_all();
         }
@@ -204,7 +204,7 @@
 ) -> JoinHandle<()> {
     let control = Arc::clone(control);
     loops::every("schedule", refresh.replicas.duration(), stop, move || {
-        control.pools.expire();
+        control.pools.refuse_expired();
         for service in control.reconciler.due() {
             // The steppers outlive this loop or end with it.
             let _ = tx.send(service);
@@ -238,7 +238,7 @@
     let mut seen = None;
     loops::every("scan", SCAN_LOOK, stop, move || {
         let (epoch, now) = (control.node.epoch(), control.clock.now());
-        let rows = u32::try_from(control.reconciler.known_rows()).unwrap_or(u32::MAX);
+        let rows = u32::try_from(control.reconciler.cached_row_count()).unwrap_or(u32::MAX);
         let pause = SCAN_EVERY.max(SCAN_EACH_ROW.saturating_mul(rows));
         // After a change a daemon may coordinate services that it has never heard of.
         let is_due = seen.is_none_or(|(old, at)| {
@@ -246,7 +246,7 @@
             now.since(at) >= pause * factor
         });
         // The next round reads what this one could not.
-        if is_due && control.reconciler.scan().is_ok() {
+        if is_due && control.reconciler.read_all_rows().is_ok() {
             seen = Some((epoch, now));
         }
     })
@@ -255,7 +255,7 @@
 fn watch(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
     loops::every("watch", WATCH_EVERY, stop, move || {
-        control.watch.look();
+        control.watch.check();
     })
 }
 
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -14,7 +14,7 @@
 use tansyknot_config::settings::{Limits, Settings};
 use tansyknot_control::{
     config::ConfigView,
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::Pools,
     publish::Publisher,
@@ -105,7 +105,7 @@
     hosts: Arc<HostView>,
     config: Arc<ConfigView>,
     pools: Arc<Pools>,
-    directory: Arc<Directory>,
+    directory: Arc<ReplicaCache>,
     publisher: Arc<Publisher>,
     node: Arc<Node>,
     recorder: Arc<dyn Recorder>,
@@ -121,7 +121,7 @@
         let timeout = settings.platform.timeout.duration();
         let hosts = Arc::new(HostView::default());
         let config = Arc::new(ConfigView::default());
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         let routing = Box::new(ZoneTwoChoices::default());
         let pools = Arc::new(Pools::new(routing, Arc::clone(&clock)));
         let publisher = Publisher {
@@ -150,7 +150,7 @@
     }
 
     fn reconciler(&self) -> Arc<Reconciler> {
-        Arc::new(Reconciler::new(reconcile::Parts {
+        Arc::new(Reconciler::new(reconcile::ReconcilerDependencies {
             table: Arc::clone(&self.table),
             engine: Arc::clone(&self.engine),
             hosts: Arc::clone(&self.hosts),
@@ -172,7 +172,7 @@
             Arc::clone(&self.engine),
             Arc::clone(&self.clock),
         );
-        let parts = gateway::Parts {
+        let parts = gateway::GatewayDependencies {
             config: Arc::clone(&self.config),
             hosts: Arc::clone(&self.hosts),
             pools: Arc::clone(&self.pools),
--- a/crates/tansyknotd/src/operators.rs
+++ b/crates/tansyknotd/src/operators.rs
@@ -5,7 +5,9 @@
 use rouille::{Request, Response};
 use serde::Serialize;
 use tansyknot_config::objects_in_force::ConfigVersion;
-use tansyknot_control::{config::ConfigView, directory::Directory, hosts::HostView, pools::Pools};
+use tansyknot_control::{
+    config::ConfigView, directory::ReplicaCache, hosts::HostView, pools::Pools,
+};
 use tansyknot_core::{
     host::Target,
     name::{DaemonName, Incarnation, RequestId, ServiceName, ZoneName},
@@ -35,7 +37,7 @@
     /// The pools.
     pub pools: Arc<Pools>,
     /// The replica rows.
-    pub directory: Arc<Directory>,
+    pub directory: Arc<ReplicaCache>,
     /// How far the stop is.
     pub lifecycle: Arc<Lifecycle>,
     /// The decisions for the latest requests.
--- a/crates/tansyknotd/src/replicas.rs
+++ b/crates/tansyknotd/src/replicas.rs
@@ -15,7 +15,7 @@
     name::{AdapterName, AttemptId, ServiceName, TargetName},
     peer::PeerListener,
 };
-use tansyknot_edge::gateway::Replicas;
+use tansyknot_edge::gateway::EngineOrders;
 
 /// An adapter that was loaded is taken to be there for this long.
 const ADAPTER_SPAN: Duration = Duration::from_secs(30);
@@ -54,8 +54,8 @@
     }
 }
 
-impl Replicas for EngineReplicas {
-    fn not_loaded(&self, service: &ServiceName) {
+impl EngineOrders for EngineReplicas {
+    fn report_not_loaded(&self, service: &ServiceName) {
         // The engine may have dropped an adapter rather than the model.
         self.adapters.lock().expect("no holder of the lock panics").clear();
         self.reconciler.hear_change(service);
