--- a/crates/tansyknot-control/src/config.rs
+++ b/crates/tansyknot-control/src/config.rs
@@ -153,7 +153,7 @@
     let txn = change_transaction(table, &head, head_row, ops, author, &token)?;
     let version = head.version + 1;
     let is_mine = |row: &Row| row::decode::<Head>(row).is_ok_and(|head| head.token == token);
-    match table::commit_settled(table, &txn, HEAD_KEY, is_mine) {
+    match table::commit_confirmed(table, &txn, HEAD_KEY, is_mine) {
         Ok(()) => Ok(version),
         Err(Error::Conflict { .. }) => {
             let (now, _) = read_head(table)?;
--- a/crates/tansyknot-control/src/idempotency.rs
+++ b/crates/tansyknot-control/src/idempotency.rs
@@ -122,7 +122,7 @@
         .check(row_key(today.saturating_sub(1), key), ABSENT)
         .check(row_key(today + 1, key), ABSENT);
     let is_own = |r: &Row| row::decode::<KeyRow>(r).is_ok_and(|r| r.token == row.token);
-    match table::commit_settled(table, &txn, &own_key, is_own) {
+    match table::commit_confirmed(table, &txn, &own_key, is_own) {
         Ok(()) => Ok(BeginOutcome::Fresh(KeyHandle { row_key: own_key, row })),
         Err(Error::Conflict { .. }) => read_existing(table, key, today),
         Err(e) => Err(e),
--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -12,7 +12,7 @@
 use tansyknot_core::{
     clock::{Clock, Time},
     name::{ServiceName, TargetName},
-    peer::Waiting,
+    peer::ServiceDemand,
     refusal::{Reason, Refusal},
 };
 use tansyknot_policy::{
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalDemand {
     /// The numbers of waiting requests and of requests in flight.
-    pub waiting: Waiting,
+    pub waiting: ServiceDemand,
     /// The running mean of service times.
     pub service_time: Duration,
     /// The duration of recent loads.
@@ -165,11 +165,13 @@
         match rx.recv_timeout(timeout) {
             Ok(signal) => Some(signal),
             Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => Some(WaitOutcome::Refused(Refusal::later(
-                Reason::NoCapacity,
-                Duration::from_secs(1),
-                "the queue was closed",
-            ))),
+            Err(RecvTimeoutError::Disconnected) => {
+                Some(WaitOutcome::Refused(Refusal::retry_later(
+                    Reason::NoCapacity,
+                    Duration::from_secs(1),
+                    "the queue was closed",
+                )))
+            }
         }
     }
 
@@ -247,7 +249,10 @@
             let load_time = entry.pool.load_time();
             for ticket in entry.pool.expire(now) {
                 let detail = "no replica was free in time";
-                entry.refuse(ticket, Refusal::later(Reason::DeadlinePassed, load_time, detail));
+                entry.refuse(
+                    ticket,
+                    Refusal::retry_later(Reason::DeadlinePassed, load_time, detail),
+                );
             }
         }
     }
@@ -257,7 +262,7 @@
         let Some(entry) = self.entry(service) else { return LocalDemand::default() };
         let entry = entry.lock().expect("no holder of the lock panics");
         LocalDemand {
-            waiting: Waiting {
+            waiting: ServiceDemand {
                 waiting: u32::try_from(entry.pool.waiting()).unwrap_or(u32::MAX),
                 in_flight: entry.pool.in_flight(),
             },
@@ -327,5 +332,5 @@
 
 fn overloaded(wait: Duration) -> Refusal {
     let detail = format!("the expected wait of {} ms is too long", wait.as_millis());
-    Refusal::later(Reason::Overloaded, wait, detail)
+    Refusal::retry_later(Reason::Overloaded, wait, detail)
 }
--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -25,7 +25,7 @@
     clock::{Clock, Time},
     engine::Engine,
     name::{DaemonName, Incarnation, ServiceName, TargetName},
-    peer::{Peers, Waiting},
+    peer::{Peers, ServiceDemand},
     refusal::{Reason, Refusal},
     replica::ReplicaRow,
     table::Table,
@@ -136,7 +136,7 @@
 }
 
 /// The latest demand that each peer reported for a service and when it was received.
-type RemoteDemand = HashMap<DaemonName, (Waiting, Time)>;
+type RemoteDemand = HashMap<DaemonName, (ServiceDemand, Time)>;
 
 /// The accelerators that are used by one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -329,7 +329,7 @@
         } else {
             state.waiting_since.get_or_insert(now);
             if !self.parts.peers.is_coordinator(service) {
-                self.parts.peers.wake(service, local.waiting);
+                self.parts.peers.report_demand(service, local.waiting);
             }
         }
         local
@@ -383,7 +383,7 @@
     fn reread(&self, service: &ServiceName, replicas: &mut Versioned<ReplicaRow>) -> Result<()> {
         *replicas = replicas::read_replicas(self.parts.table.as_ref(), service)?;
         self.publish(service, replicas, self.parts.clock.now());
-        self.parts.peers.changed(service);
+        self.parts.peers.report_change(service);
         Ok(())
     }
 
@@ -406,7 +406,8 @@
         if self.parts.pools.demand(service).has_upstream {
             return;
         }
-        let refusal = Refusal::later(Reason::StoreUnavailable, STORE_RETRY_DELAY, e.to_string());
+        let refusal =
+            Refusal::retry_later(Reason::StoreUnavailable, STORE_RETRY_DELAY, e.to_string());
         self.parts.pools.refuse_waiting(service, &refusal);
     }
 
--- a/crates/tansyknot-control/src/reconcile/due.rs
+++ b/crates/tansyknot-control/src/reconcile/due.rs
@@ -4,7 +4,7 @@
     object::{Backend, RetentionGoal, Rule},
     objects_in_force::ConfigObjects,
 };
-use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::Waiting, replica};
+use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::ServiceDemand, replica};
 
 use super::{IDLE_STEP_INTERVAL, Reconciler};
 use crate::{config, replicas};
@@ -88,8 +88,8 @@
             return false;
         }
         let local = self.parts.pools.demand(service);
-        let stale =
-            local.waiting != Waiting::default() && self.parts.directory.needs_read(service, now);
+        let stale = local.waiting != ServiceDemand::default()
+            && self.parts.directory.needs_read(service, now);
         stale
             || local.waiting.waiting > 0
             || !state.work.is_empty()
--- a/crates/tansyknot-control/src/reconcile/report.rs
+++ b/crates/tansyknot-control/src/reconcile/report.rs
@@ -4,7 +4,7 @@
 
 use tansyknot_core::{
     name::{DaemonName, ServiceName},
-    peer::{PeerListener, ServiceUse, Waiting},
+    peer::{PeerListener, ServiceDemand, ServiceUse},
 };
 
 use super::{AcceleratorUse, Reconciler};
@@ -22,18 +22,18 @@
             let local = self.parts.pools.demand(&service);
             let Some(last) = local.last_use else { continue };
             let in_flight = local.waiting.in_flight;
-            let ago = if in_flight > 0 { Duration::ZERO } else { now.since(last) };
-            if ago >= REPORT_WINDOW {
+            let since_last_use = if in_flight > 0 { Duration::ZERO } else { now.since(last) };
+            if since_last_use >= REPORT_WINDOW {
                 continue;
             }
             if self.parts.peers.is_coordinator(&service) {
-                self.usage.record(&service, now.before(ago));
+                self.usage.record(&service, now.saturating_sub(since_last_use));
             } else {
-                uses.push(ServiceUse { service, ago, in_flight });
+                uses.push(ServiceUse { service, since_last_use, in_flight });
             }
         }
         if !uses.is_empty() {
-            self.parts.peers.used(&uses);
+            self.parts.peers.report_use(&uses);
         }
     }
 
@@ -59,7 +59,12 @@
         uses
     }
 
-    fn record_remote_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting) {
+    fn record_remote_demand(
+        &self,
+        service: &ServiceName,
+        daemon: &DaemonName,
+        waiting: ServiceDemand,
+    ) {
         let now = self.parts.clock.now();
         let mut remote_demand = self.remote_demand.lock().expect("no holder of the lock panics");
         remote_demand.entry(service.clone()).or_default().insert(daemon.clone(), (waiting, now));
@@ -67,22 +72,22 @@
 }
 
 impl PeerListener for Reconciler {
-    fn hear_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting) {
+    fn receive_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: ServiceDemand) {
         self.record_remote_demand(service, daemon, waiting);
         self.usage.record(service, self.parts.clock.now());
         self.make_due(service);
     }
 
-    fn hear_use(&self, daemon: &DaemonName, uses: &[ServiceUse]) {
+    fn receive_use(&self, daemon: &DaemonName, uses: &[ServiceUse]) {
         let now = self.parts.clock.now();
         for used in uses {
-            self.usage.record(&used.service, now.before(used.ago));
-            let waiting = Waiting { waiting: 0, in_flight: used.in_flight };
+            self.usage.record(&used.service, now.saturating_sub(used.since_last_use));
+            let waiting = ServiceDemand { waiting: 0, in_flight: used.in_flight };
             self.record_remote_demand(&used.service, daemon, waiting);
         }
     }
 
-    fn hear_change(&self, service: &ServiceName) {
+    fn receive_change(&self, service: &ServiceName) {
         self.parts.directory.mark_stale(service);
         self.make_due(service);
     }
--- a/crates/tansyknot-control/src/reconcile/scale.rs
+++ b/crates/tansyknot-control/src/reconcile/scale.rs
@@ -101,7 +101,7 @@
     }
 
     fn refuse(&self, service: &ServiceName, reason: Reason, detail: &str) {
-        let refusal = Refusal::later(reason, CAPACITY_RETRY_DELAY, detail);
+        let refusal = Refusal::retry_later(reason, CAPACITY_RETRY_DELAY, detail);
         self.parts.pools.refuse_waiting(service, &refusal);
     }
 
--- a/crates/tansyknot-control/src/replicas.rs
+++ b/crates/tansyknot-control/src/replicas.rs
@@ -265,13 +265,13 @@
         row::encode(&memory_row),
     );
     let is_removed = |written: &Row| row::decode::<ReplicaRow>(written).is_ok_and(|w| w == row);
-    table::commit_settled(table, &txn, &key, is_removed)?;
+    table::commit_confirmed(table, &txn, &key, is_removed)?;
     Ok(row)
 }
 
 fn commit(table: &dyn Table, txn: &Transaction, key: &str, token: &str) -> Result<()> {
     let is_own = |row: &Row| row::decode::<ReplicaRow>(row).is_ok_and(|r| r.has_token(token));
-    table::commit_settled(table, txn, key, is_own)
+    table::commit_confirmed(table, txn, key, is_own)
 }
 
 /// Registers a run of a daemon as the latest under the daemon's name.
--- a/crates/tansyknot-control/tests/support/mod.rs
+++ b/crates/tansyknot-control/tests/support/mod.rs
@@ -18,7 +18,7 @@
     engine::Engine,
     host::{Fencing, HostState, Target, TargetKind},
     name::{Incarnation, ServiceName, TargetName, ZoneName},
-    peer::Alone,
+    peer::NoPeers,
     replica::{DaemonRow, SlotState},
     table::Table,
 };
@@ -138,7 +138,7 @@
             pools: Arc::clone(&pools),
             directory,
             publisher: Arc::clone(&publisher),
-            peers: Arc::new(Alone),
+            peers: Arc::new(NoPeers),
             placement: Box::new(NearestCheckpoint),
             retention: Box::new(LeastCost),
             clock,
--- a/crates/tansyknot-core/src/clock.rs
+++ b/crates/tansyknot-core/src/clock.rs
@@ -40,7 +40,7 @@
 impl Time {
     /// Returns the point `duration` before this one, but no earlier than the clock's start.
     #[must_use]
-    pub fn before(self, duration: Duration) -> Time {
+    pub fn saturating_sub(self, duration: Duration) -> Time {
         let us = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Time(self.0.saturating_sub(us))
     }
--- a/crates/tansyknot-core/src/key.rs
+++ b/crates/tansyknot-core/src/key.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the bearer token in the value of an `Authorization` header, if it has one.
-pub fn bearer(value: &str) -> Option<&str> {
+pub fn bearer_token(value: &str) -> Option<&str> {
     let (scheme, key) = value.trim().split_once(' ')?;
     let key = key.trim();
     (scheme.eq_ignore_ascii_case("bearer") && !key.is_empty()).then_some(key)
--- a/crates/tansyknot-core/src/metric.rs
+++ b/crates/tansyknot-core/src/metric.rs
@@ -6,7 +6,7 @@
     /// The name. The metrics page adds the prefix `tansyknot_` and a suffix for the kind.
     pub name: &'static str,
     /// The kind, which determines the format on the metrics page.
-    pub kind: Kind,
+    pub kind: MetricKind,
     /// The meaning of the label `of`.
     pub of: &'static str,
     /// The description.
@@ -15,13 +15,13 @@
 
 /// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MetricKind {
     /// A sum that only increases; the name of its series ends with `_total`.
     Counter,
     /// A current value.
     Gauge,
     /// Quantiles and a count of durations; the name of its series ends with `_seconds`.
-    Spans,
+    Durations,
 }
 
 impl Metric {
@@ -29,9 +29,9 @@
     pub fn series(&self) -> String {
         let Self { name, kind, .. } = self;
         match kind {
-            Kind::Counter => format!("tansyknot_{name}_total"),
-            Kind::Gauge => format!("tansyknot_{name}"),
-            Kind::Spans => format!("tansyknot_{name}_seconds"),
+            MetricKind::Counter => format!("tansyknot_{name}_total"),
+            MetricKind::Gauge => format!("tansyknot_{name}"),
+            MetricKind::Durations => format!("tansyknot_{name}_seconds"),
         }
     }
 }
@@ -41,7 +41,7 @@
         $(
             #[doc = $text]
             pub const $constant: Metric =
-                Metric { name: $name, kind: Kind::$kind, of: $of, text: $text };
+                Metric { name: $name, kind: MetricKind::$kind, of: $of, text: $text };
         )*
 
         /// Every metric.
@@ -67,10 +67,10 @@
     QUOTA_LEFT = "quota_left", Gauge, "team", "Units left in the team's quota account, at the planner.";
     KEYS_AGE = "keys_age_seconds", Gauge, "daemon", "Age of the view of the keys; -1 if requests need no key or there is no view.";
     POISON_REQUEST = "poison_request", Counter, "route", "Requests rejected because targets have crashed while they had them; not run.";
-    REQUEST = "request", Spans, "route", "Time from a request's arrival to its end.";
-    FIRST_EVENT = "first_event", Spans, "route", "Time from a request's arrival to the first event sent to the caller.";
-    GAP = "gap", Spans, "route", "The longest pause between two events of a stream.";
-    WAITED = "waited", Spans, "route", "Time that requests waited for a load or a free slot.";
+    REQUEST = "request", Durations, "route", "Time from a request's arrival to its end.";
+    FIRST_EVENT = "first_event", Durations, "route", "Time from a request's arrival to the first event sent to the caller.";
+    GAP = "gap", Durations, "route", "The longest pause between two events of a stream.";
+    WAITED = "waited", Durations, "route", "Time that requests waited for a load or a free slot.";
     SENDS_AGAIN = "sends_again", Counter, "route", "Retries of requests.";
     CUT_OFF = "cut_off", Counter, "service", "Sends whose target closed or reset the connection before its full response.";
     CRASHED = "crashed", Counter, "service", "Targets that ended while they had requests, as seen by this daemon.";
@@ -81,13 +81,13 @@
     SIGNAL_REJECTED = "signal_rejected", Counter, "signal", "Requests rejected because a permit, or the end of a retry delay, would come too late; not run.";
     ORDERS = "orders", Counter, "service", "Orders that targets accepted.";
     ORDERS_FAILED = "orders_failed", Counter, "service", "Tasks that stopped before their last order was done.";
-    LOAD = "load", Spans, "service", "Time from the acceptance of a load to its completion.";
+    LOAD = "load", Durations, "service", "Time from the acceptance of a load to its completion.";
     PEER_BYTES_IN = "peer_bytes_in", Counter, "peers", "Bytes of datagrams from other daemons.";
     PEER_BYTES_OUT = "peer_bytes_out", Counter, "peers", "Bytes of datagrams to other daemons.";
     STORE_CALLS = "store_calls", Counter, "kind of call", "Calls to the platform's store.";
     STORE_CALLS_FAILED = "store_calls_failed", Counter, "kind of call", "Calls to the platform's store that failed or were refused.";
     STORE_CONFLICTS = "store_conflicts", Counter, "kind of call", "Writes that conflicted with another daemon's write.";
-    STORE_CALL = "store_call", Spans, "kind of call", "Duration of calls to the platform's store, including the wait for changes.";
+    STORE_CALL = "store_call", Durations, "kind of call", "Duration of calls to the platform's store, including the wait for changes.";
     IS_PLANNER = "is_planner", Gauge, "daemon", "1 if this daemon is the planner.";
     FENCE = "fence", Gauge, "daemon", "The planner's fencing token, as last seen by this daemon.";
     CONFIG_VERSION = "config_version", Gauge, "daemon", "The version of the configuration in force.";
--- a/crates/tansyknot-core/src/peer.rs
+++ b/crates/tansyknot-core/src/peer.rs
@@ -8,7 +8,7 @@
 
 /// The number of requests for one service at one daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Waiting {
+pub struct ServiceDemand {
     /// Requests that wait for a replica.
     pub waiting: u32,
     /// Requests in progress.
@@ -21,7 +21,7 @@
     /// The service.
     pub service: ServiceName,
     /// Time since the last use.
-    pub ago: Duration,
+    pub since_last_use: Duration,
     /// Requests in progress.
     pub in_flight: u32,
 }
@@ -32,41 +32,41 @@
     fn is_coordinator(&self, service: &ServiceName) -> bool;
 
     /// Reports to the coordinator of `service` the requests that wait and run at this daemon.
-    fn wake(&self, service: &ServiceName, waiting: Waiting);
+    fn report_demand(&self, service: &ServiceName, waiting: ServiceDemand);
 
     /// Reports the use of services to their coordinators.
-    fn used(&self, uses: &[ServiceUse]);
+    fn report_use(&self, uses: &[ServiceUse]);
 
     /// Notifies the daemons that use `service` that its replica row has changed.
-    fn changed(&self, service: &ServiceName);
+    fn report_change(&self, service: &ServiceName);
 }
 
 /// Receives the messages of peers.
 pub trait PeerListener: Send + Sync {
     /// Handles a peer's report of the requests that wait for a service.
-    fn hear_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: Waiting);
+    fn receive_demand(&self, service: &ServiceName, daemon: &DaemonName, waiting: ServiceDemand);
 
     /// Handles a peer's report that it has used services.
-    fn hear_use(&self, daemon: &DaemonName, uses: &[ServiceUse]);
+    fn receive_use(&self, daemon: &DaemonName, uses: &[ServiceUse]);
 
     /// Handles a notice that the replica row of a service has changed.
-    fn hear_change(&self, service: &ServiceName);
+    fn receive_change(&self, service: &ServiceName);
 }
 
 /// The [`Peers`] of a daemon without peers, which coordinates every service itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Alone;
+pub struct NoPeers;
 
-impl Peers for Alone {
+impl Peers for NoPeers {
     fn is_coordinator(&self, _: &ServiceName) -> bool {
         true
     }
 
-    fn wake(&self, _: &ServiceName, _: Waiting) {}
+    fn report_demand(&self, _: &ServiceName, _: ServiceDemand) {}
 
-    fn used(&self, _: &[ServiceUse]) {}
+    fn report_use(&self, _: &[ServiceUse]) {}
 
-    fn changed(&self, _: &ServiceName) {}
+    fn report_change(&self, _: &ServiceName) {}
 }
 
 /// Returns the coordinator of `service`: the daemon with the highest rendezvous hash.
--- a/crates/tansyknot-core/src/refusal.rs
+++ b/crates/tansyknot-core/src/refusal.rs
@@ -114,7 +114,7 @@
     }
 
     /// Creates a refusal of a request that was not run and may be retried after `retry_after`.
-    pub fn later(reason: Reason, retry_after: Duration, detail: impl Into<String>) -> Self {
+    pub fn retry_later(reason: Reason, retry_after: Duration, detail: impl Into<String>) -> Self {
         Self {
             reason,
             outcome: Outcome::NotRun,
--- a/crates/tansyknot-core/src/table.rs
+++ b/crates/tansyknot-core/src/table.rs
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// [`Error::Conflict`] means that nothing was written. An error for which
-    /// [`Error::may_have_taken_effect`] holds must be resolved with [`commit_settled`].
+    /// [`Error::may_have_taken_effect`] holds must be resolved with [`commit_confirmed`].
     fn commit(&self, txn: &Transaction) -> Result<()>;
 }
 
@@ -119,7 +119,7 @@
 /// # Errors
 ///
 /// [`Error::Conflict`] if another writer came first; the last error if the result stays unknown.
-pub fn commit_settled(
+pub fn commit_confirmed(
     table: &dyn Table,
     txn: &Transaction,
     key: &str,
--- a/crates/tansyknot-core/tests/key.rs
+++ b/crates/tansyknot-core/tests/key.rs
@@ -13,7 +13,7 @@
     empty = { "", None },
 )]
 fn bearer_token_of_a_header(value: &str, expected: Option<&str>) {
-    assert_eq!(key::bearer(value), expected);
+    assert_eq!(key::bearer_token(value), expected);
 }
 
 #[test]
--- a/crates/tansyknot-core/tests/table.rs
+++ b/crates/tansyknot-core/tests/table.rs
@@ -3,7 +3,7 @@
 use CommitFault::{LostReply, LostRequest, Unreachable};
 use tansyknot_core::{
     Error,
-    table::{ABSENT, Row, Table, Transaction, commit_settled},
+    table::{ABSENT, Row, Table, Transaction, commit_confirmed},
 };
 use tansyknot_standins::fake::{CommitFault, FakeTable};
 use yare::parameterized;
@@ -31,7 +31,7 @@
 fn commit_is_settled(faults: &[CommitFault], written: bool) {
     let table = FakeTable::default();
     table.script(faults.iter().copied());
-    let settled = commit_settled(&table, &put("mine"), KEY, is_own_write);
+    let settled = commit_confirmed(&table, &put("mine"), KEY, is_own_write);
     assert_eq!(settled.is_ok(), written, "{settled:?}");
     let row = table.new_connection().read(KEY).expect("the table is up");
     assert_eq!(row.is_some(), written);
@@ -46,7 +46,7 @@
     let table = FakeTable::default();
     table.new_connection().commit(&put("theirs")).expect("the row does not exist");
     table.script(faults.iter().copied());
-    let settled = commit_settled(&table, &put("mine"), KEY, is_own_write);
+    let settled = commit_confirmed(&table, &put("mine"), KEY, is_own_write);
     assert!(matches!(settled, Err(Error::Conflict { .. })), "{settled:?}");
 }
 
@@ -54,6 +54,6 @@
 fn unknown_result_is_never_reported_as_a_conflict_or_as_unreachable() {
     let table = FakeTable::default();
     table.script([LostRequest, Unreachable, Unreachable]);
-    let settled = commit_settled(&table, &put("mine"), KEY, is_own_write);
+    let settled = commit_confirmed(&table, &put("mine"), KEY, is_own_write);
     assert!(settled.expect_err("nothing was written").may_have_taken_effect());
 }
--- a/crates/tansyknot-edge/src/gateway.rs
+++ b/crates/tansyknot-edge/src/gateway.rs
@@ -30,7 +30,7 @@
 use crate::{
     explain::{Decision, Explainer, Trail},
     http::{
-        respond::{self, After, Whole},
+        respond::{self, ConnectionAction, FullResponse},
         server::{Handler, Lifecycle, Request},
     },
     problem,
@@ -121,7 +121,7 @@
     req: &'a Request,
     request_id: RequestId,
     stream: &'a Arc<TcpStream>,
-    after: After,
+    after: ConnectionAction,
     span: Span,
     account: Account,
 }
@@ -129,7 +129,7 @@
 /// The state of the response to the caller after an attempt.
 enum CallerResponse {
     /// The full response has been read but not yet written to the caller.
-    Pending(Whole),
+    Pending(FullResponse),
     /// The full response has been written as a stream.
     Streamed(u16),
     /// A part of a stream has been written, followed by an error event.
@@ -200,23 +200,25 @@
         active: ActiveRequest<'_>,
         result: Result<CallerResponse, Refusal>,
         stream: &mut TcpStream,
-    ) -> io::Result<After> {
+    ) -> io::Result<ConnectionAction> {
         let (end, write_result) = match result {
             Ok(CallerResponse::Pending(whole)) => {
                 let status = whole.status;
-                let write_result = respond::write_whole(stream, &whole, active.after);
+                let write_result = respond::write_response(stream, &whole, active.after);
                 (Ended::Answered(status), write_result.map(|()| active.after))
             }
             Ok(CallerResponse::Streamed(status)) => {
                 (Ended::Answered(status), Ok(self.after_stream(&active)))
             }
-            Ok(CallerResponse::Partial(refusal)) => (Ended::Refused(refusal), Ok(After::Close)),
+            Ok(CallerResponse::Partial(refusal)) => {
+                (Ended::Refused(refusal), Ok(ConnectionAction::Close))
+            }
             Err(refusal) if refusal.reason == Reason::CallerLeft => {
-                (Ended::Refused(refusal), Ok(After::Close))
+                (Ended::Refused(refusal), Ok(ConnectionAction::Close))
             }
             Err(refusal) => {
-                let response = problem::answer(&refusal, Some(&active.request_id));
-                let write_result = respond::write_whole(stream, &response, active.after);
+                let response = problem::response(&refusal, Some(&active.request_id));
+                let write_result = respond::write_response(stream, &response, active.after);
                 (Ended::Refused(refusal), write_result.map(|()| active.after))
             }
         };
@@ -225,13 +227,18 @@
         write_result
     }
 
-    fn after_stream(&self, active: &ActiveRequest<'_>) -> After {
-        if active.req.head.http_1_1 { active.after } else { After::Close }
+    fn after_stream(&self, active: &ActiveRequest<'_>) -> ConnectionAction {
+        if active.req.head.http_1_1 { active.after } else { ConnectionAction::Close }
     }
 }
 
 impl Handler for Gateway {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let now = self.now();
         let request_id = RequestId::new(name::random_id());
         let parent = req.head.header("traceparent").and_then(SpanContext::decode_w3c_traceparent);
@@ -246,7 +253,7 @@
         let result = match identify::route(&active.req.head) {
             Ok(Route::Health) => {
                 let health = self.health();
-                respond::write_whole(stream, &health, after)?;
+                respond::write_response(stream, &health, after)?;
                 return Ok(after);
             }
             Ok(Route::Models) => self.models(&active).map(CallerResponse::Pending),
--- a/crates/tansyknot-edge/src/gateway/attempts.rs
+++ b/crates/tansyknot-edge/src/gateway/attempts.rs
@@ -247,7 +247,7 @@
     match failure {
         Failure::NotSent | Failure::NotLoaded | Failure::RefusedToStart => {
             let detail = format!("no target started the request: {code}");
-            Refusal::later(Reason::NoTarget, TARGET_RETRY_AFTER, detail)
+            Refusal::retry_later(Reason::NoTarget, TARGET_RETRY_AFTER, detail)
         }
         Failure::TimedOut => Refusal::unknown(Reason::DeadlinePassed, "the target was too slow"),
         Failure::Broken => Refusal::unknown(Reason::TargetFailed, "the connection broke"),
--- a/crates/tansyknot-edge/src/gateway/keys.rs
+++ b/crates/tansyknot-edge/src/gateway/keys.rs
@@ -11,7 +11,7 @@
 use super::{ActiveRequest, CallerResponse, Gateway};
 use crate::{
     explain::Decision,
-    http::respond::Whole,
+    http::respond::FullResponse,
     stage::{
         admit::{self, KeyVerdict},
         identify::IdentifiedRequest,
@@ -26,7 +26,7 @@
         active: &mut ActiveRequest<'_>,
         req: &IdentifiedRequest,
         key: &mut Option<KeyHandle>,
-    ) -> Result<Option<Whole>, Refusal> {
+    ) -> Result<Option<FullResponse>, Refusal> {
         let Some(key_text) = &req.key else { return Ok(None) };
         let table = self.parts.table.as_ref();
         let at_ms = self.parts.clock.wall_ms();
@@ -69,8 +69,8 @@
     }
 }
 
-fn replay(kept: StoredResponse, request_id: &RequestId) -> Whole {
-    Whole {
+fn replay(kept: StoredResponse, request_id: &RequestId) -> FullResponse {
+    FullResponse {
         status: kept.status,
         content_type: kept.content_type,
         headers: vec![
@@ -81,7 +81,7 @@
     }
 }
 
-fn stored_response(whole: &Whole) -> Option<StoredResponse> {
+fn stored_response(whole: &FullResponse) -> Option<StoredResponse> {
     if whole.body.len() > idempotency::MAX_STORED_RESPONSE_BYTES {
         return None;
     }
--- a/crates/tansyknot-edge/src/gateway/local_responses.rs
+++ b/crates/tansyknot-edge/src/gateway/local_responses.rs
@@ -5,7 +5,7 @@
 use tansyknot_core::refusal::Refusal;
 
 use super::{ActiveRequest, Gateway};
-use crate::{http::respond::Whole, stage::identify};
+use crate::{http::respond::FullResponse, stage::identify};
 
 #[derive(Serialize)]
 struct ModelList {
@@ -21,7 +21,7 @@
 }
 
 impl Gateway {
-    pub(super) fn models(&self, active: &ActiveRequest<'_>) -> Result<Whole, Refusal> {
+    pub(super) fn models(&self, active: &ActiveRequest<'_>) -> Result<FullResponse, Refusal> {
         let entry = |id: String| ModelEntry { id, object: "model", owned_by: "tansyknot" };
         let data = self.parts.config.with(|store| {
             let caller = identify::caller(store, &active.req.head)?;
@@ -41,7 +41,7 @@
         Ok(json(200, &list))
     }
 
-    pub(super) fn health(&self) -> Whole {
+    pub(super) fn health(&self) -> FullResponse {
         let draining = self.parts.lifecycle.is_draining();
         let has_state = self.parts.config.version() > 0 && self.parts.hosts.has_been_read();
         let (status, body): (u16, &[u8]) = match (draining, has_state) {
@@ -49,7 +49,7 @@
             (false, true) => (200, b"ok\n"),
             (false, false) => (503, b"no configuration or no list of hosts\n"),
         };
-        Whole {
+        FullResponse {
             status,
             content_type: "text/plain".to_owned(),
             headers: Vec::new(),
@@ -58,8 +58,8 @@
     }
 }
 
-fn json<T: Serialize>(status: u16, doc: &T) -> Whole {
-    Whole {
+fn json<T: Serialize>(status: u16, doc: &T) -> FullResponse {
+    FullResponse {
         status,
         content_type: "application/json".to_owned(),
         headers: Vec::new(),
--- a/crates/tansyknot-edge/src/stage/admit.rs
+++ b/crates/tansyknot-edge/src/stage/admit.rs
@@ -61,11 +61,11 @@
         state.token_bucket.set_options(options);
         if state.in_flight >= caller.limits.in_flight {
             let detail = format!("{} requests are in flight", state.in_flight);
-            return Err(Refusal::later(Reason::CallerLimit, IN_FLIGHT_RETRY_AFTER, detail));
+            return Err(Refusal::retry_later(Reason::CallerLimit, IN_FLIGHT_RETRY_AFTER, detail));
         }
         if let Err(wait) = state.token_bucket.take(1.0, now) {
             let detail = format!("over {} requests a second", caller.limits.rate_per_s);
-            return Err(Refusal::later(Reason::CallerLimit, wait, detail));
+            return Err(Refusal::retry_later(Reason::CallerLimit, wait, detail));
         }
         state.in_flight += 1;
         Ok(Permit { gate: self, caller: caller.name.clone() })
@@ -155,7 +155,7 @@
 }
 
 fn store_refusal(e: &Error) -> Refusal {
-    Refusal::later(Reason::StoreUnavailable, STORE_RETRY_AFTER, e.to_string())
+    Refusal::retry_later(Reason::StoreUnavailable, STORE_RETRY_AFTER, e.to_string())
 }
 
 fn request_hash(req: &IdentifiedRequest, body: &[u8]) -> String {
--- a/crates/tansyknot-edge/src/stage/identify.rs
+++ b/crates/tansyknot-edge/src/stage/identify.rs
@@ -124,11 +124,11 @@
 pub fn caller(store: &ConfigObjects, head: &Head) -> Result<Caller, Refusal> {
     if store.version() == 0 {
         let detail = "no configuration has been read since the start";
-        return Err(Refusal::later(Reason::NoConfiguration, CONFIG_RETRY_AFTER, detail));
+        return Err(Refusal::retry_later(Reason::NoConfiguration, CONFIG_RETRY_AFTER, detail));
     }
     let unknown = |detail: &str| Refusal::not_run(Reason::UnknownCaller, detail);
     let value = head.header("authorization").ok_or_else(|| unknown("there is no key"))?;
-    let key = key::bearer(value).ok_or_else(|| unknown("the key is not a bearer token"))?;
+    let key = key::bearer_token(value).ok_or_else(|| unknown("the key is not a bearer token"))?;
     let caller = store.caller(&objects_in_force::key_hash(key));
     caller.cloned().ok_or_else(|| unknown("no caller has this key"))
 }
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -12,7 +12,7 @@
     name::{ServiceName, TargetName, ZoneName},
     refusal::{Reason, Refusal},
 };
-use tansyknot_http::presence;
+use tansyknot_http::disconnect;
 use tansyknot_policy::{
     pool::PoolOptions,
     queue::{Ticket, Waiter},
@@ -102,7 +102,7 @@
             match self.pools.wait(rx, CALLER_POLL_INTERVAL) {
                 Some(WaitOutcome::Granted(target)) => return Ok(self.placement(req, target, true)),
                 Some(WaitOutcome::Refused(refusal)) => return Err(refusal),
-                None if presence::has_left(caller) => {
+                None if disconnect::has_disconnected(caller) => {
                     self.pools.abandon(&req.service, ticket, rx);
                     return Err(Refusal::not_run(Reason::CallerLeft, "the caller left the queue"));
                 }
@@ -110,7 +110,7 @@
                     self.pools.abandon(&req.service, ticket, rx);
                     let retry = self.pools.demand(&req.service).load_time;
                     let detail = "no replica was free in time";
-                    return Err(Refusal::later(Reason::DeadlinePassed, retry, detail));
+                    return Err(Refusal::retry_later(Reason::DeadlinePassed, retry, detail));
                 }
                 None => {}
             }
--- a/crates/tansyknot-edge/src/stage/relay.rs
+++ b/crates/tansyknot-edge/src/stage/relay.rs
@@ -11,7 +11,7 @@
 use super::attempt::TargetResponse;
 use crate::http::{
     events, head,
-    respond::{self, After, Streamed, Whole},
+    respond::{self, ConnectionAction, FullResponse, StreamedResponse},
 };
 
 /// Maximum length of a response that is not a stream.
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Fails if the response is truncated or too long.
-pub fn read_full(mut response: TargetResponse, request_id: &RequestId) -> io::Result<Whole> {
+pub fn read_full(mut response: TargetResponse, request_id: &RequestId) -> io::Result<FullResponse> {
     let status = response.status().as_u16();
     let content_type = content_type(&response);
     let headers = headers(&response, request_id);
@@ -65,7 +65,7 @@
     if declared.is_some_and(|n| n != body.len()) {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    Ok(Whole { status, content_type, headers, body })
+    Ok(FullResponse { status, content_type, headers, body })
 }
 
 /// How a stream ended.
@@ -81,7 +81,7 @@
 
 /// Relays the events of a stream and counts them.
 pub struct EventRelay {
-    out: Option<Streamed>,
+    out: Option<StreamedResponse>,
     pending: Vec<u8>,
     /// The number of complete events relayed.
     pub event_count: u64,
@@ -127,7 +127,7 @@
         request_id: &RequestId,
         stream: &TcpStream,
         http_1_1: bool,
-        after: After,
+        after: ConnectionAction,
     ) -> io::Result<()> {
         if self.out.is_none() {
             let headers = headers(response, request_id);
@@ -164,7 +164,7 @@
         if self.pending.len() > MAX_EVENT_BYTES {
             return Err(StreamEnd::Broken);
         }
-        let Some(end) = events::last_end(&self.pending) else { return Ok(false) };
+        let Some(end) = events::last_event_end(&self.pending) else { return Ok(false) };
         let complete = &self.pending[..end];
         self.event_count += events::count(complete);
         self.has_done_event = self.has_done_event || ends_with_done_event(complete);
--- a/crates/tansyknot-edge/src/watch.rs
+++ b/crates/tansyknot-edge/src/watch.rs
@@ -9,7 +9,7 @@
     },
 };
 
-use tansyknot_http::presence;
+use tansyknot_http::disconnect;
 
 use crate::upstream::AttemptHandle;
 
@@ -44,8 +44,9 @@
     /// have left.
     pub fn check(&self) -> usize {
         let watched = self.watched.lock().expect("the lock is not poisoned");
-        let departed =
-            watched.values().filter(|w| !w.handle.is_aborted() && presence::has_left(&w.caller));
+        let departed = watched
+            .values()
+            .filter(|w| !w.handle.is_aborted() && disconnect::has_disconnected(&w.caller));
         departed.inspect(|w| w.handle.abort()).count()
     }
 }
--- a/crates/tansyknot-edge/tests/bad_input.rs
+++ b/crates/tansyknot-edge/tests/bad_input.rs
@@ -77,7 +77,7 @@
 fn connection_over_the_limit_is_refused_until_others_are_closed() {
     let platform = TestPlatform::new();
     let options =
-        tansyknot_edge::http::server::ServerOptions { connections: 2, ..default_options() };
+        tansyknot_edge::http::server::ServerOptions { max_connections: 2, ..default_options() };
     let daemon = platform.start_daemon_with(&options);
     let idle: Vec<TcpStream> = (0..2)
         .map(|_| TcpStream::connect(daemon.address).expect("the daemon is listening"))
--- a/crates/tansyknot-edge/tests/support/mod.rs
+++ b/crates/tansyknot-edge/tests/support/mod.rs
@@ -32,7 +32,7 @@
 use tansyknot_edge::{
     explain::Explainer,
     gateway::{EngineOrders, Gateway, GatewayDependencies, GatewayOptions},
-    http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions},
+    http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions},
     watch::CallerWatch,
 };
 use tansyknot_policy::routing::ZoneTwoChoices;
@@ -280,13 +280,13 @@
 
 pub(crate) fn default_options() -> ServerOptions {
     ServerOptions {
-        head_bytes: 4096,
-        body_bytes: 64 << 10,
-        connections: 64,
+        max_head_bytes: 4096,
+        max_body_bytes: 64 << 10,
+        max_connections: 64,
         receive_timeout: Duration::from_secs(5),
         idle_timeout: Duration::from_millis(300),
         write_timeout: Duration::from_secs(5),
-        kept: KeptConnections::ClosedWhileDraining,
+        on_drain: DrainBehaviour::CloseIdle,
     }
 }
 
--- a/crates/tansyknot-fleet/examples/access.rs
+++ b/crates/tansyknot-fleet/examples/access.rs
@@ -29,8 +29,11 @@
         for (what, line) in [("right", "Bearer key0"), ("wrong", "Bearer nobodys-key-0123456789")] {
             let judge = || {
                 let arrived = Time::from_millis(2);
-                let claim =
-                    RequestCredentials { key: key::bearer(black_box(line)), arrived, version: 1 };
+                let claim = RequestCredentials {
+                    key: key::bearer_token(black_box(line)),
+                    arrived,
+                    version: 1,
+                };
                 drop(black_box(access::identify(&teams, claim, &view, &options)));
             };
             println!("{what}_among_{keys} {}", nanos(judge));
--- a/crates/tansyknot-fleet/src/access/account.rs
+++ b/crates/tansyknot-fleet/src/access/account.rs
@@ -151,7 +151,7 @@
     /// Gives back `units` that were taken `age` ago and not used. They were charged to the step of
     /// that time or, if the report took long to arrive, to an earlier one.
     pub fn give_back(&mut self, units: f64, age: Duration, now: Time) {
-        let taken = now.before(age);
+        let taken = now.saturating_sub(age);
         let mut units = units;
         for step in self.steps.iter_mut().rev().filter(|step| step.at <= taken) {
             let returned = units.min(step.used.max(0.0));
@@ -164,7 +164,7 @@
     }
 
     fn drop_old_steps(&mut self, now: Time) {
-        let window_start = now.before(self.window);
+        let window_start = now.saturating_sub(self.window);
         while let Some(step) = self.steps.front().copied()
             && step.at < window_start
         {
--- a/crates/tansyknot-fleet/src/backpressure/message.rs
+++ b/crates/tansyknot-fleet/src/backpressure/message.rs
@@ -31,7 +31,7 @@
 
     /// Returns the response that has these ages at `now`.
     pub fn answer(self, now: Time) -> ResponseId {
-        let before = |ms: u32| now.before(Duration::from_millis(ms.into()));
+        let before = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
         let at = Interval { sent: before(self.sent_ms), received: before(self.received_ms) };
         ResponseId { id: self.id, at }
     }
--- a/crates/tansyknot-fleet/src/backpressure/run_state.rs
+++ b/crates/tansyknot-fleet/src/backpressure/run_state.rs
@@ -150,7 +150,7 @@
                 let ResponseId { id, at: Interval { sent, received } } = at.answer(now);
                 self.apply_no_limit(ResponseId {
                     id,
-                    at: Interval { sent: sent.before(TRANSIT_ALLOWANCE), received },
+                    at: Interval { sent: sent.saturating_sub(TRANSIT_ALLOWANCE), received },
                 })
             }
         };
--- a/crates/tansyknot-fleet/src/backpressure/scheduler.rs
+++ b/crates/tansyknot-fleet/src/backpressure/scheduler.rs
@@ -123,7 +123,7 @@
         }
         let keys = self.waiting.iter().enumerate().map(|(n, (ask, _))| (ask.sort_key(), n));
         let (_, first) = keys.min()?;
-        self.last_grant = self.next_grant().max(now.before(MAX_CATCH_UP));
+        self.last_grant = self.next_grant().max(now.saturating_sub(MAX_CATCH_UP));
         Some(self.waiting.swap_remove(first).0)
     }
 
@@ -163,7 +163,11 @@
                 now.max(self.term_start + HANDOVER_DELAY.max(interval))
             }
         };
-        let new = || Queue { last_grant: opens_at.before(interval), interval, waiting: Vec::new() };
+        let new = || Queue {
+            last_grant: opens_at.saturating_sub(interval),
+            interval,
+            waiting: Vec::new(),
+        };
         let queue = self.queues.entry(run).or_insert_with(new);
         queue.interval = interval;
         queue.remove_expired(now);
--- a/crates/tansyknot-fleet/src/dissemination/planner_view.rs
+++ b/crates/tansyknot-fleet/src/dissemination/planner_view.rs
@@ -132,7 +132,7 @@
         self.number = Some(number);
         if number == self.newest {
             self.missing_since = None;
-            let read_at = now.before(Duration::from_millis(update.age_ms.into()));
+            let read_at = now.saturating_sub(Duration::from_millis(update.age_ms.into()));
             self.list_as_of = self.list_as_of.max(Some(read_at));
             self.list_version = self.list_version.max(update.version);
         } else if self.out_of_order.first_start().is_some() {
@@ -175,7 +175,7 @@
     /// Records the version and age of the planner's view of the configuration.
     pub fn record_config(&mut self, version: u64, age: Duration, now: Time) {
         self.config_version = self.config_version.max(version);
-        self.config_as_of = self.config_as_of.max(Some(now.before(age)));
+        self.config_as_of = self.config_as_of.max(Some(now.saturating_sub(age)));
     }
 
     /// Returns the last moment as of which the planner had no newer configuration than
--- a/crates/tansyknot-fleet/src/dissemination/recipients.rs
+++ b/crates/tansyknot-fleet/src/dissemination/recipients.rs
@@ -104,7 +104,8 @@
     /// Returns whether a daemon with the state `known` has missed the last heartbeats that should
     /// have reached it.
     fn has_missed_heartbeats(&self, known: &ReceivedState, fence: u64, now: Time) -> bool {
-        let last_update = now.before(Duration::from_millis(known.last_update_age_ms.into()));
+        let last_update =
+            now.saturating_sub(Duration::from_millis(known.last_update_age_ms.into()));
         let due =
             self.heartbeats.iter().filter(|heartbeat| now.since(**heartbeat) >= DELIVERY_TIME);
         let missed = due.filter(|heartbeat| **heartbeat > last_update).count();
--- a/crates/tansyknot-fleet/src/exchange.rs
+++ b/crates/tansyknot-fleet/src/exchange.rs
@@ -18,7 +18,7 @@
     io::Errno,
 };
 use tansyknot_core::clock::BootInstant;
-use tansyknot_http::presence;
+use tansyknot_http::disconnect;
 use thiserror::Error;
 
 use crate::poison::Presence;
@@ -166,7 +166,7 @@
         let configured =
             stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(left)));
         configured.map_err(|_| Failure::NotConnected)?;
-        if caller.is_some_and(presence::has_left) {
+        if caller.is_some_and(disconnect::has_disconnected) {
             return Err(Failure::CallerLeft);
         }
         if !may_send() {
@@ -276,7 +276,7 @@
             let is_target_ready = !fds[0].revents().is_empty();
             let is_caller_ready = fds.get(1).is_some_and(|fd| !fd.revents().is_empty());
             if is_caller_ready {
-                if self.caller.is_some_and(presence::has_left) {
+                if self.caller.is_some_and(disconnect::has_disconnected) {
                     return Err(Failure::CallerLeft);
                 }
                 // The caller has pipelined its next request, so its connection stays readable and
--- a/crates/tansyknot-fleet/src/follow/config.rs
+++ b/crates/tansyknot-fleet/src/follow/config.rs
@@ -138,7 +138,7 @@
 /// response left the store when the wait was over, however long it was in transit.
 fn shown_at(began: Time, wait: Option<Duration>, has_changed: bool, now: Time) -> Time {
     let Some(wait) = wait else { return began };
-    let latest = now.before(MAX_RESPONSE_AGE);
+    let latest = now.saturating_sub(MAX_RESPONSE_AGE);
     let shown = if has_changed { latest } else { latest.min(began + wait) };
     began.max(shown)
 }
--- a/crates/tansyknot-fleet/src/peering.rs
+++ b/crates/tansyknot-fleet/src/peering.rs
@@ -213,7 +213,7 @@
             daemon: Arc::clone(&update.planner),
             address: update.address,
             version: update.lease_version,
-            sent: now.before(Duration::from_millis(update.lease_age_ms.into())),
+            sent: now.saturating_sub(Duration::from_millis(update.lease_age_ms.into())),
         };
         !self.lease.is_mine() && self.lease.record_message(contact, now)
     }
--- a/crates/tansyknot-fleet/src/peering/publishing.rs
+++ b/crates/tansyknot-fleet/src/peering/publishing.rs
@@ -163,7 +163,7 @@
     pub(super) fn start_publishing(&self, now: Time) {
         let announced: Vec<PeerEntry> = self.state.peers().all(now).cloned().collect();
         let others = announced.into_iter().filter(|p| p.address != self.me.address).collect();
-        let since = self.state.fleet().log.number_before(now.before(UNPUBLISHED_WINDOW));
+        let since = self.state.fleet().log.number_before(now.saturating_sub(UNPUBLISHED_WINDOW));
         let mut published = self.published();
         published.override_revisions.clear();
         published.versions = (since, 0);
--- a/crates/tansyknot-fleet/src/peering/quota.rs
+++ b/crates/tansyknot-fleet/src/peering/quota.rs
@@ -107,7 +107,7 @@
     pub(super) fn handle_usage_reply(&self, reply: &UsageReply, now: Time) {
         let Some(sent_at) = self.state.pending().sent_at(reply.stamp, now) else { return };
         if let Some(age) = reply.config_age_ms {
-            let as_of = sent_at.before(Duration::from_millis(age.into()));
+            let as_of = sent_at.saturating_sub(Duration::from_millis(age.into()));
             self.state.key_view().record_newest(reply.config, as_of);
         }
         if reply.fence >= self.lease.fence() {
--- a/crates/tansyknot-fleet/src/response_relay.rs
+++ b/crates/tansyknot-fleet/src/response_relay.rs
@@ -10,7 +10,7 @@
 use tansyknot_core::clock::BootInstant;
 use tansyknot_http::{
     events, head,
-    respond::{self, After, Streamed, Whole},
+    respond::{self, ConnectionAction, FullResponse, StreamedResponse},
 };
 
 use crate::exchange::{Body, Control, Failure, ResponseHead};
@@ -45,14 +45,14 @@
     head: &ResponseHead,
     body: Body<'_>,
     control: &Control,
-) -> Result<Whole, Failure> {
+) -> Result<FullResponse, Failure> {
     let mut bytes = Vec::new();
     let read = body.take(MAX_BODY_BYTES + 1).read_to_end(&mut bytes);
     read.map_err(|_| control.failure())?;
     if bytes.len() as u64 > MAX_BODY_BYTES {
         return Err(Failure::Malformed);
     }
-    Ok(Whole {
+    Ok(FullResponse {
         status: head.status,
         content_type: content_type(head),
         headers: headers(head),
@@ -74,7 +74,7 @@
 /// The state of a caller's stream, across all targets that have contributed to it.
 #[derive(Default)]
 pub struct EventRelay {
-    out: Option<Streamed>,
+    out: Option<StreamedResponse>,
     /// The identifier of the last event relayed.
     pub last_id: Option<String>,
     /// When the first event was relayed.
@@ -95,7 +95,7 @@
     /// Whether the caller supports HTTP/1.1 and so the chunked encoding.
     pub http_1_1: bool,
     /// What becomes of the connection after the response.
-    pub after: After,
+    pub after: ConnectionAction,
 }
 
 impl EventRelay {
@@ -130,7 +130,7 @@
             if pending.len() > MAX_EVENT_BYTES {
                 return Err(Failure::Malformed);
             }
-            let Some(end) = events::last_end(&pending) else { continue };
+            let Some(end) = events::last_event_end(&pending) else { continue };
             self.send(head, &pending[..end], caller)?;
             pending.drain(..end);
             control.set_deadline((BootInstant::now() + timeouts.gap).min(timeouts.deadline));
--- a/crates/tansyknot-fleet/src/serve.rs
+++ b/crates/tansyknot-fleet/src/serve.rs
@@ -21,7 +21,7 @@
 };
 use tansyknot_http::{
     head::Head,
-    respond::{self, After, Whole},
+    respond::{self, ConnectionAction, FullResponse},
     server::{Handler, Lifecycle, Request},
 };
 
@@ -95,8 +95,8 @@
         params: &RequestParams,
         refusal: Refusal,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let Refusal { reason, retry_after } = refusal;
         if !reason.may_flood_logs() || self.refusal_logs.admits(self.state.now()) {
             self.log_refusal(req, params, reason);
@@ -220,15 +220,15 @@
         reason: Reason,
         retry_after: Option<Duration>,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let retry_after =
             retry_after.or_else(|| reason.retry_after(self.state.store_is_unavailable()));
         let headers = self.dialect.refusal(id, retry_after);
         let body = format!("{{\"reason\":\"{}\"}}", reason.name()).into_bytes();
         let content_type = "application/json".to_owned();
-        let response = Whole { status: reason.status(), content_type, headers, body };
-        respond::write_whole(stream, &response, after)?;
+        let response = FullResponse { status: reason.status(), content_type, headers, body };
+        respond::write_response(stream, &response, after)?;
         Ok(after)
     }
 
@@ -308,13 +308,18 @@
 }
 
 /// Writes a full response to the caller.
-fn write_response(request: &ActiveRequest<'_>, response: &Whole) -> io::Result<()> {
+fn write_response(request: &ActiveRequest<'_>, response: &FullResponse) -> io::Result<()> {
     let mut stream = request.caller.stream.try_clone()?;
-    respond::write_whole(&mut stream, response, request.caller.after)
+    respond::write_response(&mut stream, response, request.caller.after)
 }
 
 impl Handler for Server {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let began = BootInstant::now();
         let params = self.dialect.request_params(&req.head);
         let Routed { route, service, identity } =
@@ -368,7 +373,7 @@
                 let retry_after = request.retry_after.filter(|_| reason.status() == 503);
                 self.refuse(&request.params.id, reason, retry_after, stream, after)
             }
-            Ended::Aborted(_) => Ok(After::Close),
+            Ended::Aborted(_) => Ok(ConnectionAction::Close),
         }
     }
 }
--- a/crates/tansyknot-fleet/src/serve/attempt.rs
+++ b/crates/tansyknot-fleet/src/serve/attempt.rs
@@ -6,7 +6,7 @@
     clock::{BootInstant, Time},
     metric,
 };
-use tansyknot_http::respond::Whole;
+use tansyknot_http::respond::FullResponse;
 
 use super::{
     MAX_SENDS, Server,
@@ -187,7 +187,7 @@
         &self,
         request: &mut ActiveRequest<'_>,
         head: &ResponseHead,
-        response: Whole,
+        response: FullResponse,
     ) -> Result<SendOutcome, Failure> {
         if request.relay.has_begun() {
             // A response that is no stream cannot continue a stream that has begun.
--- a/crates/tansyknot-fleet/src/serve/request.rs
+++ b/crates/tansyknot-fleet/src/serve/request.rs
@@ -8,7 +8,7 @@
     name::{ServiceName, TargetName},
 };
 use tansyknot_http::{
-    respond::{After, Whole},
+    respond::{ConnectionAction, FullResponse},
     server::Request,
 };
 
@@ -159,7 +159,7 @@
 /// How a request ended.
 pub(super) enum Ended {
     /// A target's full response was relayed.
-    Answered { status: u16, after: After },
+    Answered { status: u16, after: ConnectionAction },
     /// The request is refused; nothing has been sent to the caller yet.
     Refused(Reason),
     /// The caller's connection must be closed.
@@ -171,7 +171,7 @@
     /// The response was relayed, with this status.
     Relayed(u16),
     /// The target responded with an error of its own; another attempt may succeed.
-    ServerError(Whole),
+    ServerError(FullResponse),
     /// The target did not run the request.
     NotRun(NotRun),
     /// The target may have run the request.
@@ -225,7 +225,7 @@
     pub(super) tried: Vec<TargetName>,
     pub(super) relay: EventRelay,
     /// The last error response of a target, relayed if no later send succeeds.
-    pub(super) fallback: Option<Whole>,
+    pub(super) fallback: Option<FullResponse>,
     pub(super) waited: Duration,
     /// Expected time until a load or permit that the request cannot wait for, sent as
     /// `Retry-After`.
--- a/crates/tansyknot-fleet/src/serve/wait.rs
+++ b/crates/tansyknot-fleet/src/serve/wait.rs
@@ -7,7 +7,7 @@
     metric,
     name::ServiceName,
 };
-use tansyknot_http::presence;
+use tansyknot_http::disconnect;
 
 use super::{
     Server,
@@ -156,7 +156,7 @@
             }
             let pause = wait.ends_in(now).unwrap_or(CALLER_CHECK_INTERVAL);
             self.state.targets_changed.wait(seen, left.min(CALLER_CHECK_INTERVAL).min(pause));
-            if presence::has_left(request.caller.stream) {
+            if disconnect::has_disconnected(request.caller.stream) {
                 return Err(Reason::CallerLeft);
             }
         }
--- a/crates/tansyknot-fleet/tests/obeyed.rs
+++ b/crates/tansyknot-fleet/tests/obeyed.rs
@@ -53,7 +53,7 @@
 
 /// Takes in an answer of `t1` to a request that was sent a moment before.
 fn hear(fleet: &mut Fleet, signals: Signals, outcome: Outcome, now: Time) {
-    let interval = Interval { sent: now.before(Duration::from_millis(1)), received: now };
+    let interval = Interval { sent: now.saturating_sub(Duration::from_millis(1)), received: now };
     fleet.record_signals(&entry("t1", 1), &signals, outcome, interval);
 }
 
--- a/crates/tansyknot-fleet/tests/retry_budget.rs
+++ b/crates/tansyknot-fleet/tests/retry_budget.rs
@@ -47,7 +47,7 @@
         let within = |sends: &[Time], end: Time| {
             sends.iter().filter(|at| **at <= end && end.since(**at) < WINDOW).count() as f64
         };
-        let ends = [end, end.before(WINDOW / 2), end.before(WINDOW)];
+        let ends = [end, end.saturating_sub(WINDOW / 2), end.saturating_sub(WINDOW)];
         let requests = ends.map(|end| within(&self.first, end)).into_iter().fold(0.0, f64::max);
         within(&self.again, end) - (requests * RATIO + SLACK)
     }
--- a/crates/tansyknot-fleet/tests/versions.rs
+++ b/crates/tansyknot-fleet/tests/versions.rs
@@ -167,7 +167,7 @@
     fleet.apply_full_list(Vec::new(), 20, Some(10), at(4_000));
     fleet.complete_read(20, at(4_000));
     let end = at(4_000) + EXPIRY_GRACE;
-    assert!(takes_work(&fleet, "t1", end.before(Duration::from_millis(1))));
+    assert!(takes_work(&fleet, "t1", end.saturating_sub(Duration::from_millis(1))));
     assert!(!takes_work(&fleet, "t1", end));
     assert_eq!(
         fleet.advertised_read(end).version,
--- a/crates/tansyknot-gossip/src/node.rs
+++ b/crates/tansyknot-gossip/src/node.rs
@@ -15,7 +15,7 @@
     clock::Clock,
     event,
     name::{DaemonName, ServiceName},
-    peer::{self, PeerListener, Peers, ServiceUse, Waiting},
+    peer::{self, PeerListener, Peers, ServiceDemand, ServiceUse},
 };
 
 use crate::{
@@ -176,17 +176,17 @@
         match envelope.message {
             Message::Wake { service, waiting, in_flight } => {
                 self.record_interest(&service, &envelope.from);
-                let waiting = Waiting { waiting, in_flight };
-                self.notify_listener(|l| l.hear_demand(&service, &envelope.from, waiting));
+                let waiting = ServiceDemand { waiting, in_flight };
+                self.notify_listener(|l| l.receive_demand(&service, &envelope.from, waiting));
             }
             Message::Used { uses } => {
                 let uses = uses.into_iter().map(service_use).collect::<Vec<_>>();
                 for used in &uses {
                     self.record_interest(&used.service, &envelope.from);
                 }
-                self.notify_listener(|l| l.hear_use(&envelope.from, &uses));
+                self.notify_listener(|l| l.receive_use(&envelope.from, &uses));
             }
-            Message::Changed { service } => self.notify_listener(|l| l.hear_change(&service)),
+            Message::Changed { service } => self.notify_listener(|l| l.receive_change(&service)),
             other => {
                 let now = self.clock.now();
                 let out = {
@@ -249,7 +249,7 @@
         self.coordinator(service).is_none()
     }
 
-    fn wake(&self, service: &ServiceName, waiting: Waiting) {
+    fn report_demand(&self, service: &ServiceName, waiting: ServiceDemand) {
         let Some((_, to)) = self.coordinator(service) else { return };
         let message = Message::Wake {
             service: service.clone(),
@@ -259,7 +259,7 @@
         self.send(to, message);
     }
 
-    fn used(&self, uses: &[ServiceUse]) {
+    fn report_use(&self, uses: &[ServiceUse]) {
         let mut by_daemon: HashMap<SocketAddr, Vec<UseEntry>> = HashMap::new();
         for used in uses {
             if let Some((_, to)) = self.coordinator(&used.service) {
@@ -273,7 +273,7 @@
         }
     }
 
-    fn changed(&self, service: &ServiceName) {
+    fn report_change(&self, service: &ServiceName) {
         let now = self.clock.now();
         let daemons = {
             let mut interest = self.interest.lock().expect("no holder of the lock panics");
@@ -296,7 +296,7 @@
 fn use_entry(used: &ServiceUse) -> UseEntry {
     UseEntry {
         service: used.service.clone(),
-        ago_ms: u32::try_from(used.ago.as_millis()).unwrap_or(u32::MAX),
+        ago_ms: u32::try_from(used.since_last_use.as_millis()).unwrap_or(u32::MAX),
         in_flight: used.in_flight,
     }
 }
@@ -304,7 +304,7 @@
 fn service_use(entry: UseEntry) -> ServiceUse {
     ServiceUse {
         service: entry.service,
-        ago: Duration::from_millis(u64::from(entry.ago_ms)),
+        since_last_use: Duration::from_millis(u64::from(entry.ago_ms)),
         in_flight: entry.in_flight,
     }
 }
--- a/crates/tansyknot-http/src/presence.rs
+++ b/crates/tansyknot-http/src/disconnect.rs
@@ -8,7 +8,7 @@
 ///
 /// A caller that has only shut down its sending side counts as disconnected: HTTP clients do not
 /// do that while they wait for a response.
-pub fn has_left(stream: &TcpStream) -> bool {
+pub fn has_disconnected(stream: &TcpStream) -> bool {
     let mut probe = [0_u8; 1];
     match rustix::net::recv(stream, &mut probe, RecvFlags::PEEK | RecvFlags::DONTWAIT) {
         Ok((0, _)) => true,
--- a/crates/tansyknot-http/src/events.rs
+++ b/crates/tansyknot-http/src/events.rs
@@ -4,7 +4,7 @@
 pub const EVENT_END: &[u8] = b"\n\n";
 
 /// Returns the end offset of the last complete event in `bytes`.
-pub fn last_end(bytes: &[u8]) -> Option<usize> {
+pub fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let at = bytes.windows(EVENT_END.len()).rposition(|w| w == EVENT_END)?;
     Some(at + EVENT_END.len())
 }
--- a/crates/tansyknot-http/src/lib.rs
+++ b/crates/tansyknot-http/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 server side towards callers: reads requests within limits and writes responses.
 
 pub mod body;
+pub mod disconnect;
 pub mod events;
 pub mod head;
-pub mod presence;
 pub mod problem;
 pub mod receive;
 pub mod respond;
--- a/crates/tansyknot-http/src/problem.rs
+++ b/crates/tansyknot-http/src/problem.rs
@@ -6,7 +6,7 @@
     refusal::{Outcome, Refusal},
 };
 
-use crate::respond::Whole;
+use crate::respond::FullResponse;
 
 /// The content type of refusals.
 pub const CONTENT_TYPE: &str = "application/problem+json";
@@ -59,7 +59,7 @@
 }
 
 /// Creates the response to a refused request.
-pub fn answer(refusal: &Refusal, request: Option<&RequestId>) -> Whole {
+pub fn response(refusal: &Refusal, request: Option<&RequestId>) -> FullResponse {
     let mut headers = Vec::new();
     if let Some(s) = refusal.retry_after_s() {
         headers.push(("retry-after".to_owned(), s.to_string()));
@@ -67,7 +67,7 @@
     if let Some(request) = request {
         headers.push(("x-request-id".to_owned(), request.to_string()));
     }
-    Whole {
+    FullResponse {
         status: refusal.reason.status(),
         content_type: CONTENT_TYPE.to_owned(),
         headers,
--- a/crates/tansyknot-http/src/respond.rs
+++ b/crates/tansyknot-http/src/respond.rs
@@ -9,7 +9,7 @@
 
 /// A response with a complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct FullResponse {
     /// The HTTP status code.
     pub status: u16,
     /// The content type.
@@ -22,7 +22,7 @@
 
 /// What happens to the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum ConnectionAction {
     /// The connection waits for the next request.
     KeepAlive,
     /// The connection is closed.
@@ -34,7 +34,11 @@
 /// # Errors
 ///
 /// Fails if the caller has disconnected or does not read.
-pub fn write_whole(stream: &mut TcpStream, response: &Whole, after: After) -> io::Result<()> {
+pub fn write_response(
+    stream: &mut TcpStream,
+    response: &FullResponse,
+    after: ConnectionAction,
+) -> io::Result<()> {
     let mut buf = Vec::with_capacity(256 + response.body.len());
     write_head(&mut buf, response.status, &response.content_type, &response.headers, after);
     buf.extend_from_slice(format!("content-length: {}\r\n\r\n", response.body.len()).as_bytes());
@@ -47,7 +51,7 @@
     status: u16,
     content_type: &str,
     headers: &[(String, String)],
-    after: After,
+    after: ConnectionAction,
 ) {
     let mut line = |text: String| buf.extend_from_slice(text.as_bytes());
     line(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)));
@@ -55,13 +59,13 @@
     for (name, value) in headers {
         line(format!("{name}: {value}\r\n"));
     }
-    if after == After::Close {
+    if after == ConnectionAction::Close {
         line("connection: close\r\n".to_owned());
     }
 }
 
 /// A streamed response; each write is sent immediately as one chunk.
-pub struct Streamed {
+pub struct StreamedResponse {
     stream: TcpStream,
     body: Option<Body>,
 }
@@ -83,10 +87,10 @@
     content_type: &str,
     headers: &[(String, String)],
     http_1_1: bool,
-    after: After,
-) -> io::Result<Streamed> {
+    after: ConnectionAction,
+) -> io::Result<StreamedResponse> {
     let mut buf = Vec::with_capacity(256);
-    let after = if http_1_1 { after } else { After::Close };
+    let after = if http_1_1 { after } else { ConnectionAction::Close };
     write_head(&mut buf, status, content_type, headers, after);
     if http_1_1 {
         buf.extend_from_slice(b"transfer-encoding: chunked\r\n");
@@ -99,10 +103,10 @@
     } else {
         Body::Plain(out)
     };
-    Ok(Streamed { stream: stream.try_clone()?, body: Some(body) })
+    Ok(StreamedResponse { stream: stream.try_clone()?, body: Some(body) })
 }
 
-impl Streamed {
+impl StreamedResponse {
     /// Sends a bytes of the body immediately.
     ///
     /// # Errors
@@ -123,7 +127,7 @@
     }
 }
 
-impl Drop for Streamed {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
         if self.body.is_some() {
             // A missing last chunk shows the caller that the body is incomplete. The connection is
--- a/crates/tansyknot-http/src/server.rs
+++ b/crates/tansyknot-http/src/server.rs
@@ -21,7 +21,7 @@
     head::{self, Head},
     problem,
     receive::Receiver,
-    respond::{self, After},
+    respond::{self, ConnectionAction},
 };
 
 /// Stack size of a connection's thread; a small one suffices because no stage recurses.
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug)]
 pub struct ServerOptions {
     /// Maximum length of a head, in bytes.
-    pub head_bytes: u64,
+    pub max_head_bytes: u64,
     /// Maximum length of a body, in bytes.
-    pub body_bytes: u64,
+    pub max_body_bytes: u64,
     /// Maximum number of concurrent connections.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Timeout for receiving a head or a body.
     pub receive_timeout: Duration,
     /// Timeout of an idle connection.
@@ -51,17 +51,17 @@
     /// Timeout of a write.
     pub write_timeout: Duration,
     /// What happens to connections between requests when the daemon drains.
-    pub kept: KeptConnections,
+    pub on_drain: DrainBehaviour,
 }
 
 /// What happens to a connection between two requests when the daemon drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeptConnections {
+pub enum DrainBehaviour {
     /// The connection is closed at once.
-    ClosedWhileDraining,
+    CloseIdle,
     /// The connection stays open until its next request, whose response closes it, or until the
     /// daemon ends.
-    ServedWhileDraining,
+    ServeIdle,
 }
 
 /// A received request.
@@ -80,7 +80,12 @@
     /// # Errors
     ///
     /// Fails if the caller has disconnected.
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After>;
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction>;
 }
 
 /// The progress of the daemon's shutdown, with counts of connections and requests.
@@ -189,14 +194,18 @@
 ) {
     let before = lifecycle.connections.fetch_add(1, Ordering::SeqCst);
     let guard = CountGuard::connection(lifecycle);
-    if before >= options.connections {
-        let refusal = Refusal::later(
+    if before >= options.max_connections {
+        let refusal = Refusal::retry_later(
             Reason::TooManyConnections,
             Duration::from_secs(1),
             "every connection is taken",
         );
         let _ = stream.set_write_timeout(Some(LINGER_TIMEOUT));
-        let _ = respond::write_whole(&mut stream, &problem::answer(&refusal, None), After::Close);
+        let _ = respond::write_response(
+            &mut stream,
+            &problem::response(&refusal, None),
+            ConnectionAction::Close,
+        );
         return;
     }
     let options = options.clone();
@@ -257,8 +266,8 @@
             Err(refusal) => return refuse(&mut rx, &mut stream, &refusal),
         };
         let close = !req.head.keep_alive || lifecycle.is_draining();
-        let after = if close { After::Close } else { After::KeepAlive };
-        if handler.handle(req, &mut stream, after)? == After::Close {
+        let after = if close { ConnectionAction::Close } else { ConnectionAction::KeepAlive };
+        if handler.handle(req, &mut stream, after)? == ConnectionAction::Close {
             return Ok(());
         }
     }
@@ -286,7 +295,7 @@
     while rx.buffered().is_empty() {
         let must_close = match connection_use {
             ConnectionUse::Fresh => lifecycle.is_closed(),
-            ConnectionUse::Used if options.kept == KeptConnections::ClosedWhileDraining => {
+            ConnectionUse::Used if options.on_drain == DrainBehaviour::CloseIdle => {
                 lifecycle.is_draining()
             }
             ConnectionUse::Used => lifecycle.is_ending(),
@@ -294,9 +303,9 @@
         if must_close || BootInstant::now() >= until {
             return Ok(false);
         }
-        rx.set_deadline(match options.kept {
-            KeptConnections::ClosedWhileDraining => IDLE_CHECK_INTERVAL,
-            KeptConnections::ServedWhileDraining => KEPT_CHECK_INTERVAL,
+        rx.set_deadline(match options.on_drain {
+            DrainBehaviour::CloseIdle => IDLE_CHECK_INTERVAL,
+            DrainBehaviour::ServeIdle => KEPT_CHECK_INTERVAL,
         });
         match rx.fill() {
             Ok(0) => return Ok(false),
@@ -314,13 +323,13 @@
     options: &ServerOptions,
 ) -> Result<Request, Refusal> {
     rx.set_deadline(options.receive_timeout);
-    let head = receive_head(rx, options.head_bytes)?;
+    let head = receive_head(rx, options.max_head_bytes)?;
     if head.expects_continue() {
         respond::write_continue(stream)
             .map_err(|_| Refusal::not_run(Reason::CallerLeft, "the caller left"))?;
     }
     rx.set_deadline(options.receive_timeout);
-    let body = body::read(rx, head.framing, options.body_bytes)?;
+    let body = body::read(rx, head.framing, options.max_body_bytes)?;
     Ok(Request { head, body })
 }
 
@@ -356,7 +365,7 @@
     if refusal.reason == Reason::CallerLeft {
         return Ok(());
     }
-    respond::write_whole(stream, &problem::answer(refusal, None), After::Close)?;
+    respond::write_response(stream, &problem::response(refusal, None), ConnectionAction::Close)?;
     stream.shutdown(std::net::Shutdown::Write)?;
     // Closing a socket with unread bytes resets the connection, which discards the response.
     rx.set_deadline(LINGER_TIMEOUT);
--- a/crates/tansyknot-standins/examples/capacity/replicas.rs
+++ b/crates/tansyknot-standins/examples/capacity/replicas.rs
@@ -18,7 +18,7 @@
     engine::Engine,
     host::{Fencing, HostState, Target, TargetKind},
     name::{Incarnation, ServiceName, TargetName, ZoneName},
-    peer::Alone,
+    peer::NoPeers,
     replica::{ReplicaRow, Slot, SlotState},
     table::{Table, Transaction},
 };
@@ -71,7 +71,7 @@
         pools: Arc::clone(&pools),
         directory,
         publisher,
-        peers: Arc::new(Alone),
+        peers: Arc::new(NoPeers),
         placement: Box::new(NearestCheckpoint),
         retention: Box::new(LeastCost),
         clock,
--- a/crates/tansyknot-standins/src/engine.rs
+++ b/crates/tansyknot-standins/src/engine.rs
@@ -20,7 +20,7 @@
     name::{AdapterName, ServiceName},
 };
 use tansyknot_edge::http::{
-    respond::{self, After},
+    respond::{self, ConnectionAction},
     server::{Handler, Request},
 };
 
@@ -254,8 +254,8 @@
         self: &Arc<Self>,
         req: &Request,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let result = match req.head.path.as_str() {
             "/control/status" => return server::json(stream, after, 200, &self.status()),
             "/control/ran" => return server::json(stream, after, 200, &self.executed_requests()),
@@ -300,7 +300,12 @@
         self.faults.lock().expect("no holder of the lock panics").clone()
     }
 
-    fn complete(&self, req: &Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn complete(
+        &self,
+        req: &Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let Ok(body) = server::parse_body::<CompletionRequest>(req) else {
             return server::json(stream, after, 400, &"bad body");
         };
@@ -335,8 +340,8 @@
         &self,
         token_stream: &TokenStream,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         thread::sleep(token_stream.due_after(token_stream.tokens));
         let words: Vec<String> = (0..token_stream.tokens).map(streams::token_text).collect();
         let doc = CompletionResponse {
@@ -364,8 +369,8 @@
         token_stream: &TokenStream,
         skip: u64,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let faults = self.faults();
         let cut_after = faults.cut_after_events;
         let mut out = respond::start_stream(
@@ -398,7 +403,12 @@
         Ok(after)
     }
 
-    fn resume(&self, req: &Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn resume(
+        &self,
+        req: &Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let attempt = req.head.path.trim_start_matches("/v1/streams/");
         let skip = server::query_param(req, "after").parse().unwrap_or(0);
         match self.streams.get(attempt) {
@@ -421,7 +431,12 @@
 struct EngineHandler(Arc<Engine>);
 
 impl Handler for EngineHandler {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let engine = &self.0;
         if let Some(result) = server::handle_faults(&req, stream, after, &engine.faults) {
             return result;
@@ -435,9 +450,9 @@
     }
 }
 
-fn close_connection(stream: &mut TcpStream) -> io::Result<After> {
+fn close_connection(stream: &mut TcpStream) -> io::Result<ConnectionAction> {
     stream.shutdown(Shutdown::Both)?;
-    Ok(After::Close)
+    Ok(ConnectionAction::Close)
 }
 
 /// Starts an engine on `address`.
--- a/crates/tansyknot-standins/src/hosts.rs
+++ b/crates/tansyknot-standins/src/hosts.rs
@@ -13,7 +13,7 @@
     name::TargetName,
 };
 use tansyknot_edge::http::{
-    respond::{self, After, Whole},
+    respond::{self, ConnectionAction, FullResponse},
     server::{Handler, Request},
 };
 
@@ -73,18 +73,18 @@
         &self,
         req: &Request,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let body = serde_json::to_vec(&self.list())?;
         let etag = format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(&body));
         let is_unchanged = req.head.header("if-none-match") == Some(etag.as_str());
-        let response = Whole {
+        let response = FullResponse {
             status: if is_unchanged { 304 } else { 200 },
             content_type: "application/json".to_owned(),
             headers: vec![("etag".to_owned(), etag)],
             body: if is_unchanged { Vec::new() } else { body },
         };
-        respond::write_whole(stream, &response, after)?;
+        respond::write_response(stream, &response, after)?;
         Ok(after)
     }
 
@@ -99,7 +99,12 @@
 }
 
 impl Handler for HostsState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
--- a/crates/tansyknot-standins/src/plain.rs
+++ b/crates/tansyknot-standins/src/plain.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 use tansyknot_edge::http::{
-    respond::After,
+    respond::ConnectionAction,
     server::{Handler, Request},
 };
 
@@ -54,7 +54,12 @@
 }
 
 impl Handler for PlainState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
@@ -76,7 +81,7 @@
         }
         if faults.cut_answers {
             stream.shutdown(Shutdown::Both)?;
-            return Ok(After::Close);
+            return Ok(ConnectionAction::Close);
         }
         let caller = req.head.header("x-caller");
         let traceparent = req.head.header("traceparent");
--- a/crates/tansyknot-standins/src/server.rs
+++ b/crates/tansyknot-standins/src/server.rs
@@ -10,8 +10,8 @@
 
 use serde::{Serialize, de::DeserializeOwned};
 use tansyknot_edge::http::{
-    respond::{self, After, Whole},
-    server::{self, Handler, KeptConnections, Lifecycle, Request, ServerOptions},
+    respond::{self, ConnectionAction, FullResponse},
+    server::{self, DrainBehaviour, Handler, Lifecycle, Request, ServerOptions},
 };
 
 /// A server of a stand-in, which runs in threads of this process and stops when dropped.
@@ -47,13 +47,13 @@
     let address = listener.local_addr()?;
     let lifecycle = Arc::new(Lifecycle::default());
     let options = ServerOptions {
-        head_bytes: 64 << 10,
-        body_bytes: 64 << 20,
-        connections: 8192,
+        max_head_bytes: 64 << 10,
+        max_body_bytes: 64 << 20,
+        max_connections: 8192,
         receive_timeout: Duration::from_secs(10),
         idle_timeout: Duration::from_secs(300),
         write_timeout: Duration::from_secs(10),
-        kept: KeptConnections::ClosedWhileDraining,
+        on_drain: DrainBehaviour::CloseIdle,
     };
     let server_lifecycle = Arc::clone(&lifecycle);
     thread::spawn(move || server::serve(&listener, &options, &handler, &server_lifecycle));
@@ -67,17 +67,17 @@
 /// Fails if the client has disconnected.
 pub fn json<T: Serialize>(
     stream: &mut TcpStream,
-    after: After,
+    after: ConnectionAction,
     status: u16,
     doc: &T,
-) -> io::Result<After> {
-    let response = Whole {
+) -> io::Result<ConnectionAction> {
+    let response = FullResponse {
         status,
         content_type: "application/json".to_owned(),
         headers: Vec::new(),
         body: serde_json::to_vec(doc)?,
     };
-    respond::write_whole(stream, &response, after)?;
+    respond::write_response(stream, &response, after)?;
     Ok(after)
 }
 
@@ -117,9 +117,9 @@
 pub fn handle_faults<T: Serialize + DeserializeOwned + Clone>(
     req: &Request,
     stream: &mut TcpStream,
-    after: After,
+    after: ConnectionAction,
     faults: &Mutex<T>,
-) -> Option<io::Result<After>> {
+) -> Option<io::Result<ConnectionAction>> {
     if req.head.path != "/faults" {
         return None;
     }
--- a/crates/tansyknot-standins/src/table.rs
+++ b/crates/tansyknot-standins/src/table.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tansyknot_core::table::{ABSENT, Row, Transaction};
 use tansyknot_edge::http::{
-    respond::After,
+    respond::ConnectionAction,
     server::{Handler, Request},
 };
 
@@ -170,8 +170,8 @@
         &self,
         req: &Request,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         match req.head.path.as_str() {
             "/row" => {
                 let key = server::query_param(req, "key");
@@ -198,7 +198,12 @@
 }
 
 impl Handler for TableState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
@@ -211,9 +216,9 @@
     }
 }
 
-fn close_connection(stream: &mut TcpStream) -> io::Result<After> {
+fn close_connection(stream: &mut TcpStream) -> io::Result<ConnectionAction> {
     stream.shutdown(Shutdown::Both)?;
-    Ok(After::Close)
+    Ok(ConnectionAction::Close)
 }
 
 /// Starts a table on `address`.
--- a/crates/tansyknot-standins/src/weights.rs
+++ b/crates/tansyknot-standins/src/weights.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 use tansyknot_edge::http::{
-    respond::After,
+    respond::ConnectionAction,
     server::{Handler, Request},
 };
 
@@ -79,7 +79,12 @@
 }
 
 impl Handler for WeightState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
--- a/crates/tansyknotd/src/control.rs
+++ b/crates/tansyknotd/src/control.rs
@@ -160,7 +160,7 @@
     let reconciler = Arc::downgrade(&control.reconciler);
     control.pools.set_on_waiting(Box::new(move |service| {
         if let Some(reconciler) = reconciler.upgrade() {
-            reconciler.hear_change(service);
+            reconciler.receive_change(service);
         }
         // Without steppers the daemon is stopping, and the request is given up at its deadline.
         let _ = tx.lock().expect("no holder of the lock panics").send(service.clone());
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -34,7 +34,7 @@
 use tansyknot_edge::{
     explain::Explainer,
     gateway::{self, Gateway, GatewayOptions},
-    http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions},
+    http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions},
     watch::CallerWatch,
 };
 use tansyknot_gossip::{
@@ -349,13 +349,13 @@
     lifecycle: &Arc<Lifecycle>,
 ) -> JoinHandle<()> {
     let options = ServerOptions {
-        head_bytes: limits.head.get(),
-        body_bytes: limits.body.get(),
-        connections: limits.connections,
+        max_head_bytes: limits.head.get(),
+        max_body_bytes: limits.body.get(),
+        max_connections: limits.connections,
         receive_timeout: limits.receive_timeout.duration(),
         idle_timeout: limits.idle_timeout.duration(),
         write_timeout: limits.write_timeout.duration(),
-        kept: KeptConnections::ClosedWhileDraining,
+        on_drain: DrainBehaviour::CloseIdle,
     };
     let lifecycle = Arc::clone(lifecycle);
     spawn("callers", move || {
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -34,7 +34,7 @@
     state::{State, StateOptions},
     task::TaskRunner,
 };
-use tansyknot_http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions};
+use tansyknot_http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions};
 
 use crate::page::PageRecorder;
 use pages::{MetricsPage, ReadyPage};
@@ -225,18 +225,18 @@
 fn caller_options(settings: &FleetSettings) -> ServerOptions {
     let limits = &settings.limits;
     ServerOptions {
-        head_bytes: limits.head.get(),
-        body_bytes: limits.body.get(),
-        connections: limits.connections,
+        max_head_bytes: limits.head.get(),
+        max_body_bytes: limits.body.get(),
+        max_connections: limits.connections,
         receive_timeout: limits.receive_timeout.duration(),
         idle_timeout: limits.idle_timeout.duration(),
         write_timeout: limits.write_timeout.duration(),
-        kept: KeptConnections::ServedWhileDraining,
+        on_drain: DrainBehaviour::ServeIdle,
     }
 }
 
 fn page_options(settings: &FleetSettings) -> ServerOptions {
-    ServerOptions { connections: PAGE_CONNECTIONS, ..caller_options(settings) }
+    ServerOptions { max_connections: PAGE_CONNECTIONS, ..caller_options(settings) }
 }
 
 fn serve(
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -12,7 +12,7 @@
 use tansyknot_core::{clock::Time, event, metric, name::ServiceName, telemetry::Recorder};
 use tansyknot_fleet::{lease_keeper::SharedLease, peering::PeerNode, state::State};
 use tansyknot_http::{
-    respond::{self, After, Whole},
+    respond::{self, ConnectionAction, FullResponse},
     server::{Handler, Lifecycle, Request},
 };
 
@@ -44,7 +44,12 @@
 }
 
 impl Handler for ReadyPage {
-    fn handle(&self, _: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        _: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let status = if self.is_ready() { 200 } else { 503 };
         text(stream, status, String::new(), after)
     }
@@ -106,15 +111,25 @@
 }
 
 impl Handler for MetricsPage {
-    fn handle(&self, _: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        _: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         self.look();
         text(stream, 200, self.recorder.page(), after)
     }
 }
 
-fn text(stream: &mut TcpStream, status: u16, body: String, after: After) -> io::Result<After> {
+fn text(
+    stream: &mut TcpStream,
+    status: u16,
+    body: String,
+    after: ConnectionAction,
+) -> io::Result<ConnectionAction> {
     let content_type = "text/plain; charset=utf-8".to_owned();
-    let whole = Whole { status, content_type, headers: Vec::new(), body: body.into_bytes() };
-    respond::write_whole(stream, &whole, after)?;
+    let whole = FullResponse { status, content_type, headers: Vec::new(), body: body.into_bytes() };
+    respond::write_response(stream, &whole, after)?;
     Ok(after)
 }
--- a/crates/tansyknotd/src/replicas.rs
+++ b/crates/tansyknotd/src/replicas.rs
@@ -58,7 +58,7 @@
     fn report_not_loaded(&self, service: &ServiceName) {
         // The engine may have dropped an adapter rather than the model.
         self.adapters.lock().expect("no holder of the lock panics").clear();
-        self.reconciler.hear_change(service);
+        self.reconciler.receive_change(service);
     }
 
     fn cancel(&self, target: &Target, attempt: &AttemptId) {
