--- a/crates/tansyknot-cli/src/command/daemons.rs
+++ b/crates/tansyknot-cli/src/command/daemons.rs
@@ -40,6 +40,6 @@
     match response.status {
         200 => http.parse(&response.text).map(Some),
         404 => Ok(None),
-        _ => Err(http.unexpected(&response)),
+        _ => Err(http.unexpected_status(&response)),
     }
 }
--- a/crates/tansyknot-platform/src/engine.rs
+++ b/crates/tansyknot-platform/src/engine.rs
@@ -47,7 +47,7 @@
             412 => Err(self.stale_fence(&response)?),
             507 => Err(Error::OutOfMemory),
             409 => Err(Error::busy("engine", response.text)),
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 
@@ -62,7 +62,7 @@
         let response = self.http.get(&format!("http://{}/control/status", target.address), &[])?;
         match response.status {
             200 => self.http.parse(&response.text),
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 
--- a/crates/tansyknot-platform/src/host.rs
+++ b/crates/tansyknot-platform/src/host.rs
@@ -48,7 +48,7 @@
                 Ok(Some(targets))
             }
             304 => Ok(None),
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 }
--- a/crates/tansyknot-platform/src/http.rs
+++ b/crates/tansyknot-platform/src/http.rs
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Fails if no complete UTF-8 response was received.
-    pub fn get_within(
+    pub fn get_with_timeout(
         &self,
         url: &str,
         query: &[(&str, &str)],
@@ -102,7 +102,7 @@
 
     /// Returns the error for a status that the protocol does not define: [`Error::Busy`] for 429 and
     /// 503, otherwise [`Error::Malformed`].
-    pub fn unexpected(&self, response: &HttpResponse) -> Error {
+    pub fn unexpected_status(&self, response: &HttpResponse) -> Error {
         match response.status {
             429 | 503 => Error::busy(self.service, &response.text),
             status => Error::malformed(self.service, format!("status {status}: {}", response.text)),
--- a/crates/tansyknot-platform/src/table.rs
+++ b/crates/tansyknot-platform/src/table.rs
@@ -35,7 +35,7 @@
         match response.status {
             200 => self.http.parse(&response.text).map(Some),
             404 => Ok(None),
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 
@@ -45,7 +45,7 @@
         let response = self.http.get(&format!("{}/rows", self.base_url), &query)?;
         match response.status {
             200 => self.http.parse(&response.text),
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 
@@ -57,7 +57,7 @@
                 let conflict: Conflict = self.http.parse(&response.text)?;
                 Err(Error::Conflict { key: conflict.key })
             }
-            _ => Err(self.http.unexpected(&response)),
+            _ => Err(self.http.unexpected_status(&response)),
         }
     }
 }
--- a/crates/tansyknotd/tests/fleet.rs
+++ b/crates/tansyknotd/tests/fleet.rs
@@ -17,7 +17,7 @@
 
 fn dossier(address: SocketAddr, id: &str, model: &str) -> String {
     let req = Request::new("/dossier/", id, Some(model), 20_000);
-    launch::ask(address, &Request { more: "Connection: close\r\n", ..req }.text())
+    launch::ask(address, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
 }
 
 /// A store with one engine, which holds one model at a time and has all of them on its disk.
@@ -28,8 +28,8 @@
         timeout_ms: 20_000,
         objective_ms: 5_000,
         gap_ms: 300,
-        models_at_once: 1,
-        models: 3,
+        models_per_engine: 1,
+        model_count: 3,
     };
     configuration.write(&store);
     let runner = Runner::start(&store, MODELS, "i-a", &["m0"]);
@@ -40,10 +40,10 @@
 #[test]
 fn model_that_is_nowhere_is_loaded_and_a_planned_stop_ends_well() {
     let (store, runner) = platform();
-    let mut daemon = Daemon::start("d0", store.door().address);
+    let mut daemon = Daemon::start("d0", store.open_endpoint().address);
     let answer = dossier(daemon.callers, "id-1", "m1");
     assert!(answer.contains("200 OK") && answer.contains("token 6"), "{answer}");
-    assert_eq!(runner.models(), ["m1"]);
+    assert_eq!(runner.loaded_models(), ["m1"]);
     daemon.signal(Signal::TERM);
     let status = daemon.child.wait().expect("the daemon ends");
     assert_eq!(status.code(), Some(0));
@@ -52,7 +52,7 @@
 #[test]
 fn page_of_figures_has_what_the_catalogue_lists_and_nothing_else() {
     let (store, _runner) = platform();
-    let daemon = Daemon::start("d3", store.door().address);
+    let daemon = Daemon::start("d3", store.open_endpoint().address);
     assert!(dossier(daemon.callers, "id-1", "m1").contains("token 6"));
     let page = launch::figures(daemon.metrics);
     let names: BTreeSet<&str> = page
@@ -72,13 +72,13 @@
 #[test]
 fn planner_that_is_killed_is_replaced_and_requests_wait_for_that() {
     let (store, runner) = platform();
-    let first = Daemon::start("d1", store.door().address);
+    let first = Daemon::start("d1", store.open_endpoint().address);
     assert!(dossier(first.callers, "id-1", "m1").contains("token 6"));
-    let second = Daemon::start("d2", store.door().address);
+    let second = Daemon::start("d2", store.open_endpoint().address);
     first.signal(Signal::KILL);
     let answer = dossier(second.callers, "id-2", "m2");
     assert!(answer.contains("200 OK") && answer.contains("token 6"), "{answer}");
-    assert_eq!(runner.models(), ["m2"]);
-    let holders: Vec<String> = runner.orders_seen().into_iter().map(|o| o.holder).collect();
+    assert_eq!(runner.loaded_models(), ["m2"]);
+    let holders: Vec<String> = runner.received_orders().into_iter().map(|o| o.holder).collect();
     assert_eq!(holders, ["d1", "d1", "d2", "d2"]);
 }
--- a/crates/tansyknotd/tests/keys.rs
+++ b/crates/tansyknotd/tests/keys.rs
@@ -19,7 +19,7 @@
 const SECRET: &str = "sesame";
 
 fn write(store: &Store, version: u64, keys: serde_json::Value) {
-    let mut doc = Configuration::plain(version).document();
+    let mut doc = Configuration::single_model(version).document();
     doc["tenants"] = json!([{ "name": "alpha", "api-keys": keys, "rate-per-s": 1, "burst": 2 }]);
     store.put("op", "config", &doc);
 }
@@ -29,7 +29,7 @@
     let store = Store::new();
     write(&store, 1, json!([format!("{SECRET}-1")]));
     let _runner = Runner::start(&store, "plain", "i-a", &[]);
-    let settings = launch::settings("keys", store.door().address);
+    let settings = launch::settings("keys", store.open_endpoint().address);
     let text = std::fs::read_to_string(&settings).expect("it was written");
     let more = "  revoke_within: 5s\n  revoke_fail_closed: true\ntelemetry:\n  log_level: debug\n";
     std::fs::write(&settings, text + more).expect("it was written");
@@ -61,7 +61,7 @@
     for (n, key) in keys.iter().cycle().take(20).enumerate() {
         let more = format!("Authorization: Bearer {SECRET}-{key}\r\nConnection: close\r\n");
         let id = format!("id-{n}");
-        let req = Request { more: &more, ..Request::new("/ledger/x", &id, None, 900) };
+        let req = Request { extra_headers: &more, ..Request::new("/ledger/x", &id, None, 900) };
         shown += &launch::ask(callers, &req.text());
     }
     write(&store, 2, json!(format!("{SECRET}-3")));
--- a/crates/tansyknotd/tests/poison.rs
+++ b/crates/tansyknotd/tests/poison.rs
@@ -23,7 +23,7 @@
 use launch::Daemon;
 use tansyknot_adapter_standins::{
     caller::Request,
-    crash::{self, Ending, Record},
+    crash::{self, CrashLog, CrashSequence},
     operator::Configuration,
     store::Store,
 };
@@ -45,16 +45,16 @@
 /// A store with targets that crash, and daemons before them.
 struct World {
     store: Store,
-    record: Arc<Record>,
+    record: Arc<CrashLog>,
     daemons: Vec<Daemon>,
     sent: usize,
 }
 
 impl World {
-    fn start(name: &str, ending: Ending) -> Self {
+    fn start(name: &str, sequence: CrashSequence) -> Self {
         let store = Store::new();
-        Configuration::plain(1).write(&store);
-        let record = Arc::new(Record::of(ending));
+        Configuration::single_model(1).write(&store);
+        let record = Arc::new(CrashLog::with_sequence(sequence));
         (0..TARGETS).for_each(|_| crash::start(&store, &record));
         let mut world = Self { store, record, daemons: Vec::new(), sent: 0 };
         world.start_daemons(name);
@@ -62,12 +62,12 @@
     }
 
     fn start_daemons(&mut self, name: &str) {
-        let start = |n| Daemon::start(&format!("{name}{n}"), self.store.door().address);
+        let start = |n| Daemon::start(&format!("{name}{n}"), self.store.open_endpoint().address);
         self.daemons = (0..DAEMONS).map(start).collect();
     }
 
     /// Has the request come again, at the next daemon, until `is_over`.
-    fn ask_until(&mut self, is_over: impl Fn(&Record) -> bool) {
+    fn ask_until(&mut self, is_over: impl Fn(&CrashLog) -> bool) {
         let began = Instant::now();
         while !is_over(&self.record) {
             assert!(began.elapsed() < launch::PATIENCE, "it did not come true in time");
@@ -86,17 +86,20 @@
 
 fn ask(callers: SocketAddr, path: &str, id: &str) -> String {
     let req = Request::new(path, id, None, 1_500);
-    launch::ask(callers, &Request { more: "Connection: close\r\n", ..req }.text())
+    launch::ask(callers, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
 }
 
 // Where the port goes on accepting, a cut counted as no crash, and the one look that followed it found
 // somebody: 78 of 96 sends came later than three seconds after the third crash.
 #[parameterized(
-    port_closes_first = { "poison", Ending::PortFirst },
-    port_stays = { "stays", Ending::PortStays },
+    port_closes_first = { "poison", CrashSequence::PortClosesFirst },
+    port_stays = { "stays", CrashSequence::PortStaysOpen },
 )]
-fn poison_request_reaches_no_target_once_three_have_crashed_under_it(name: &str, ending: Ending) {
-    let mut world = World::start(name, ending);
+fn poison_request_reaches_no_target_once_three_have_crashed_under_it(
+    name: &str,
+    sequence: CrashSequence,
+) {
+    let mut world = World::start(name, sequence);
     world.ask_until(|record| record.crashes().len() >= KNOWN);
     let third = world.record.crashes()[KNOWN - 1];
     world.ask_until(|_| third.elapsed() > CONTACT + GOES_ON);
@@ -104,11 +107,14 @@
 }
 
 #[parameterized(
-    port_closes_first = { "ended", Ending::PortFirst },
-    port_stays = { "ended_stays", Ending::PortStays },
+    port_closes_first = { "ended", CrashSequence::PortClosesFirst },
+    port_stays = { "ended_stays", CrashSequence::PortStaysOpen },
 )]
-fn poison_request_is_known_after_all_daemons_have_ended_at_once(name: &str, ending: Ending) {
-    let mut world = World::start(name, ending);
+fn poison_request_is_known_after_all_daemons_have_ended_at_once(
+    name: &str,
+    sequence: CrashSequence,
+) {
+    let mut world = World::start(name, sequence);
     world.ask_until(|record| record.crashes().len() >= KNOWN);
     let third = world.record.crashes()[KNOWN - 1];
     world.ask_until(|_| third.elapsed() > Duration::from_secs(2));
--- a/crates/tansyknotd/tests/soak/backpressure.rs
+++ b/crates/tansyknotd/tests/soak/backpressure.rs
@@ -49,9 +49,9 @@
             })
             .collect();
         thread::sleep(KNOWN);
-        limited.say(&[("Server-Limit", &LIMIT.to_string())]);
-        resting.rest(Some(REST));
-        leaving.say(&[("Server-Leaving", "1")]);
+        limited.set_extra_headers(&[("Server-Limit", &LIMIT.to_string())]);
+        resting.set_retry_delay(Some(REST));
+        leaving.set_extra_headers(&[("Server-Leaving", "1")]);
         let spoken = Instant::now();
         while spoken.elapsed() < SPEAKS {
             thread::sleep(Duration::from_millis(rng.random_range(50..400)));
--- a/crates/tansyknotd/tests/soak/check.rs
+++ b/crates/tansyknotd/tests/soak/check.rs
@@ -56,7 +56,7 @@
     let mut broken = Vec::new();
     let mut runs: HashMap<String, usize> = HashMap::new();
     for r in &world.runners {
-        for ran in r.standin.ran() {
+        for ran in r.standin.executed_requests() {
             *runs.entry(ran.id).or_default() += 1;
         }
     }
@@ -77,7 +77,7 @@
     }
     for r in &world.runners {
         broken.extend(orders(world, &r.standin.id));
-        let most = r.standin.most_models();
+        let most = r.standin.max_models();
         if most > MODELS_AT_ONCE {
             broken.push(format!("{} held {most} models", r.standin.id));
         }
@@ -91,7 +91,7 @@
 /// Checks the turns and tokens of the holders at one runner.
 fn orders(world: &World, id: &str) -> Vec<String> {
     let Some(r) = world.runners.iter().find(|r| r.standin.id == id) else { return Vec::new() };
-    let seen = r.standin.orders_seen();
+    let seen = r.standin.received_orders();
     let mut delayed = r.path.healed();
     delayed.extend(world.daemons.iter().flat_map(|d| d.thawed()));
     let is_excused =
--- a/crates/tansyknotd/tests/soak/client.rs
+++ b/crates/tansyknotd/tests/soak/client.rs
@@ -7,7 +7,7 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use tansyknot_adapter_standins::{caller::Request, runner::EVENTS};
+use tansyknot_adapter_standins::{caller::Request, runner::EVENTS_PER_STREAM};
 
 use crate::world::{MODEL_COUNT, Outcome, World};
 
@@ -82,7 +82,7 @@
     if tokens != in_order {
         return Some(format!("{path} {id}: tokens {tokens:?}"));
     }
-    let looks_whole = answer.whole && tokens.len() as u64 != EVENTS;
+    let looks_whole = answer.whole && tokens.len() as u64 != EVENTS_PER_STREAM;
     looks_whole.then(|| format!("{path} {id}: ends cleanly after {} events", tokens.len()))
 }
 
--- a/crates/tansyknotd/tests/soak/crash.rs
+++ b/crates/tansyknotd/tests/soak/crash.rs
@@ -9,7 +9,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tansyknot_adapter_standins::{
-    crash::{self, Record},
+    crash::{self, CrashLog},
     operator::PLAIN,
 };
 
@@ -45,7 +45,7 @@
     if world.daemons.iter().filter(knows).count() < world.daemons.len() {
         return vec!["a daemon does not know that targets have gone".to_owned()];
     }
-    let record = Arc::new(Record::default());
+    let record = Arc::new(CrashLog::default());
     (0..TARGETS).for_each(|_| crash::start(&world.store, &record));
     thread::scope(|scope| {
         let until = Instant::now() + FAULTS;
--- a/crates/tansyknotd/tests/soak/leave.rs
+++ b/crates/tansyknotd/tests/soak/leave.rs
@@ -83,7 +83,8 @@
                 .and_then(|mut s| client::ask(&mut s, "/lookup/", &format!("after-{n}-{k}"), None));
         }
     }
-    let ran = |r: &Runner| r.ran().into_iter().find(|ran| ran.id.starts_with("after-"));
+    let ran =
+        |r: &Runner| r.executed_requests().into_iter().find(|ran| ran.id.starts_with("after-"));
     let late = gone.iter().filter_map(|r| Some((r.id.clone(), ran(r)?.id)));
     late.map(|(runner, id)| format!("{runner} ran {id} after it had gone")).collect()
 }
--- a/crates/tansyknotd/tests/soak/main.rs
+++ b/crates/tansyknotd/tests/soak/main.rs
@@ -73,13 +73,15 @@
         0 => daemon.restart(End::Kill),
         1 => daemon.restart(End::Stop),
         2 => daemon.pause(Duration::from_millis(rng.random_range(50..5_000))),
-        3 => daemon.door.set_mood(world::mood(rng)),
+        3 => daemon.endpoint.set_failure_mode(world::failure_mode(rng)),
         4 => daemon.store_path.set(proxy::Weather::any(rng)),
         5 => daemon.store_path.reset_all(),
         6 | 7 => world.runners[runner].path.set(proxy::Weather::any(rng)),
         8 => world.runners[runner].path.reset_all(),
-        9 | 10 => world.runners[runner].standin.fail(&[world::fault(rng), world::fault(rng)]),
-        11 => world.runners[runner].standin.fail_orders(&[world::order_fault(rng)]),
+        9 | 10 => {
+            world.runners[runner].standin.queue_faults(&[world::fault(rng), world::fault(rng)]);
+        }
+        11 => world.runners[runner].standin.queue_order_faults(&[world::order_fault(rng)]),
         _ => world.change_config(),
     }
 }
--- a/crates/tansyknotd/tests/soak/world.rs
+++ b/crates/tansyknotd/tests/soak/world.rs
@@ -17,7 +17,7 @@
 use tansyknot_adapter_standins::{
     operator::{Configuration, MODELS, PLAIN},
     runner::{Fault, Runner},
-    store::{Door, Mood, Store},
+    store::{Endpoint, FailureMode, Store},
 };
 
 use crate::{
@@ -60,7 +60,7 @@
 
 /// A daemon, whichever process it is now.
 pub(crate) struct Daemon {
-    pub(crate) door: Door,
+    pub(crate) endpoint: Endpoint,
     pub(crate) store_path: Path,
     process: Mutex<Child>,
     callers: Mutex<SocketAddr>,
@@ -83,8 +83,8 @@
             let standin = Runner::start(&store, service, id, models);
             let path = Path::open(standin.address);
             standin.set_on_disk(&["m0", "m1", "m2", "m3"]);
-            standin.set_gap(Duration::from_millis(20));
-            standin.enter_at(path.address);
+            standin.set_event_gap(Duration::from_millis(20));
+            standin.publish_address(path.address);
             RunnerAt { standin, path }
         };
         let runners = vec![
@@ -107,7 +107,7 @@
     /// Ends every fault.
     pub(crate) fn mend(&self) {
         for d in &self.daemons {
-            d.door.set_mood(Mood::Fine);
+            d.endpoint.set_failure_mode(FailureMode::Normal);
             d.store_path.set(Weather::Fair);
             d.signal(Signal::CONT);
         }
@@ -122,9 +122,9 @@
     }
 
     /// Writes the next configuration, with so many models; returns its version.
-    pub(crate) fn write_config(&self, models: usize) -> u64 {
+    pub(crate) fn write_config(&self, model_count: usize) -> u64 {
         let version = self.config.fetch_add(1, Ordering::SeqCst) + 1;
-        Configuration { models, ..configuration(version) }.write(&self.store);
+        Configuration { model_count, ..configuration(version) }.write(&self.store);
         version
     }
 
@@ -143,12 +143,12 @@
 
 impl Daemon {
     fn start(store: &Store, seed: u64, n: u64) -> Self {
-        let door = store.door();
-        let store_path = Path::open(door.address);
+        let endpoint = store.open_endpoint();
+        let store_path = Path::open(endpoint.address);
         let settings = launch::settings(&format!("{seed}-d{n}"), store_path.address);
         let started = launch::spawn(&settings);
         Self {
-            door,
+            endpoint,
             store_path,
             process: Mutex::new(started.child),
             callers: Mutex::new(started.callers),
@@ -246,28 +246,34 @@
     }
 }
 
-pub(crate) fn mood(rng: &mut StdRng) -> Mood {
-    [Mood::Fine, Mood::Fine, Mood::Busy, Mood::TooMany, Mood::Closing, Mood::LosesAnswers]
-        [rng.random_range(0..6)]
+pub(crate) fn failure_mode(rng: &mut StdRng) -> FailureMode {
+    [
+        FailureMode::Normal,
+        FailureMode::Normal,
+        FailureMode::ServiceUnavailable,
+        FailureMode::TooManyRequests,
+        FailureMode::ClosesConnections,
+        FailureMode::DropsWriteResponses,
+    ][rng.random_range(0..6)]
 }
 
 pub(crate) fn fault(rng: &mut StdRng) -> Fault {
     let all = [
-        Fault::Full,
-        Fault::Error,
-        Fault::LosesAnswer,
-        Fault::Truncates,
-        Fault::BreaksOff,
-        Fault::Foreign,
-        Fault::Babbles,
-        Fault::Extra,
-        Fault::NoReceipt,
+        Fault::RejectsRequest,
+        Fault::InternalError,
+        Fault::DropsResponse,
+        Fault::TruncatesBody,
+        Fault::TruncatesStream,
+        Fault::WrongAttemptId,
+        Fault::InvalidResponse,
+        Fault::DuplicateResponse,
+        Fault::MissingSeal,
     ];
     all[rng.random_range(0..all.len())]
 }
 
 pub(crate) fn order_fault(rng: &mut StdRng) -> Fault {
-    [Fault::DropsOrder, Fault::LosesOrderAnswer][rng.random_range(0..2)]
+    [Fault::DropsOrder, Fault::DropsOrderResponse][rng.random_range(0..2)]
 }
 
 fn configuration(version: u64) -> Configuration {
@@ -276,7 +282,7 @@
         timeout_ms: 5_000,
         objective_ms: 300,
         gap_ms: 200,
-        models_at_once: MODELS_AT_ONCE,
-        models: MODEL_COUNT,
+        models_per_engine: MODELS_AT_ONCE,
+        model_count: MODEL_COUNT,
     }
 }
