--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -4,10 +4,10 @@
 //! its row and act only if the coordinator does not. When two daemons act at once, the table's
 //! compare-and-swap decides which change takes effect.
 
-mod look;
-mod place;
+mod due;
 mod report;
-mod retire;
+mod reserve;
+mod scale;
 mod slot;
 
 use std::{
@@ -17,15 +17,15 @@
 };
 
 use tansyknot_config::{
-    object::{Backend, Model, Rule, Weight},
-    store::ConfigVersion,
+    object::{Backend, Model, RetentionGoal, Rule},
+    objects_in_force::ConfigVersion,
 };
 use tansyknot_core::{
     Error, Result,
     clock::{Clock, Time},
     engine::Engine,
     name::{DaemonName, Incarnation, ServiceName, TargetName},
-    peer::{Peers, Waiting},
+    peer::{Peers, ServiceDemand},
     refusal::{Reason, Refusal},
     replica::ReplicaRow,
     table::Table,
@@ -39,7 +39,7 @@
 use crate::{
     claim::{Claim, Watch},
     config::ConfigView,
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::{LocalDemand, Pools},
     publish::Publisher,
@@ -65,7 +65,7 @@
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// The components that the control loop uses.
-pub struct Parts {
+pub struct ReconcilerDependencies {
     /// The table service.
     pub table: Arc<dyn Table>,
     /// The engines.
@@ -77,7 +77,7 @@
     /// The pools of this daemon.
     pub pools: Arc<Pools>,
     /// The cached replica rows.
-    pub directory: Arc<Directory>,
+    pub directory: Arc<ReplicaCache>,
     /// Publishes ready replicas to the pools.
     pub publisher: Arc<Publisher>,
     /// The other daemons.
@@ -136,7 +136,7 @@
 }
 
 /// The latest demand that each peer reported for a service and when it was received.
-type RemoteDemand = HashMap<DaemonName, (Waiting, Time)>;
+type RemoteDemand = HashMap<DaemonName, (ServiceDemand, Time)>;
 
 /// The accelerators that are used by one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -151,7 +151,7 @@
 
 /// The control loop.
 pub struct Reconciler {
-    parts: Parts,
+    parts: ReconcilerDependencies,
     usage: Usage,
     states: Mutex<HashMap<ServiceName, Arc<Mutex<ServiceState>>>>,
     remote_demand: Mutex<HashMap<ServiceName, RemoteDemand>>,
@@ -170,8 +170,8 @@
 impl ModelConfig {
     fn weight(&self) -> ColdWeight {
         match self.rule.retention.weight {
-            Weight::Cold => ColdWeight::More,
-            Weight::Idle => ColdWeight::Less,
+            RetentionGoal::Cold => ColdWeight::More,
+            RetentionGoal::Idle => ColdWeight::Less,
         }
     }
 
@@ -187,8 +187,8 @@
         let limits = &self.rule.retention;
         RetentionOptions {
             cold_start_worth: retention::cold_start_worth(self.weight()),
-            at_least: limits.at_least.duration(),
-            at_most: limits.at_most.duration(),
+            min_keep: limits.at_least.duration(),
+            max_keep: limits.at_most.duration(),
             load_time,
         }
     }
@@ -196,7 +196,7 @@
 
 impl Reconciler {
     /// Creates a control loop that has not read any state yet.
-    pub fn new(parts: Parts) -> Self {
+    pub fn new(parts: ReconcilerDependencies) -> Self {
         Self {
             parts,
             usage: Usage::default(),
@@ -264,7 +264,7 @@
     /// Returns whether the configuration and the list of hosts have been read; before that, no
     /// decision about replicas is sound.
     fn has_initial_state(&self) -> bool {
-        self.parts.config.version() > 0 && self.parts.hosts.is_known()
+        self.parts.config.version() > 0 && self.parts.hosts.has_been_read()
     }
 
     fn step_locked(&self, service: &ServiceName, state: &mut ServiceState) -> Result<()> {
@@ -329,7 +329,7 @@
         } else {
             state.waiting_since.get_or_insert(now);
             if !self.parts.peers.is_coordinator(service) {
-                self.parts.peers.wake(service, local.waiting);
+                self.parts.peers.report_demand(service, local.waiting);
             }
         }
         local
@@ -375,7 +375,7 @@
 
     /// Caches a row and publishes its ready replicas to the pools.
     fn publish(&self, service: &ServiceName, replicas: &Versioned<ReplicaRow>, now: Time) {
-        self.parts.directory.keep(service, replicas.version, &replicas.row, now);
+        self.parts.directory.store(service, replicas.version, &replicas.row, now);
         self.parts.publisher.publish(service);
     }
 
@@ -383,7 +383,7 @@
     fn reread(&self, service: &ServiceName, replicas: &mut Versioned<ReplicaRow>) -> Result<()> {
         *replicas = replicas::read_replicas(self.parts.table.as_ref(), service)?;
         self.publish(service, replicas, self.parts.clock.now());
-        self.parts.peers.changed(service);
+        self.parts.peers.report_change(service);
         Ok(())
     }
 
@@ -406,7 +406,8 @@
         if self.parts.pools.demand(service).has_upstream {
             return;
         }
-        let refusal = Refusal::later(Reason::StoreUnavailable, STORE_RETRY_DELAY, e.to_string());
+        let refusal =
+            Refusal::retry_later(Reason::StoreUnavailable, STORE_RETRY_DELAY, e.to_string());
         self.parts.pools.refuse_waiting(service, &refusal);
     }
 
--- a/crates/tansyknot-control/src/reconcile/look.rs
+++ b/crates/tansyknot-control/src/reconcile/due.rs
@@ -1,10 +1,10 @@
 //! Selection of the services that need a step.
 
 use tansyknot_config::{
-    object::{Backend, Rule, Weight},
-    store::Store,
+    object::{Backend, RetentionGoal, Rule},
+    objects_in_force::ConfigObjects,
 };
-use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::Waiting, replica};
+use tansyknot_core::{Result, clock::Time, name::ServiceName, peer::ServiceDemand, replica};
 
 use super::{IDLE_STEP_INTERVAL, Reconciler};
 use crate::{config, replicas};
@@ -88,8 +88,8 @@
             return false;
         }
         let local = self.parts.pools.demand(service);
-        let stale =
-            local.waiting != Waiting::default() && self.parts.directory.needs_read(service, now);
+        let stale = local.waiting != ServiceDemand::default()
+            && self.parts.directory.needs_read(service, now);
         stale
             || local.waiting.waiting > 0
             || !state.work.is_empty()
@@ -101,23 +101,24 @@
     /// # Errors
     ///
     /// Fails if the table does.
-    pub fn scan(&self) -> Result<()> {
+    pub fn read_all_rows(&self) -> Result<()> {
         let now = self.parts.clock.now();
         config::scan_all(self.parts.table.as_ref(), replica::REPLICA_PREFIX, |row| {
             let (service, replicas) = replicas::decode_replicas(&row)?;
-            self.parts.directory.keep(&service, replicas.version, &replicas.row, now);
+            self.parts.directory.store(&service, replicas.version, &replicas.row, now);
             Ok(())
         })
     }
 
     /// Returns the number of cached replica rows.
-    pub fn known_rows(&self) -> usize {
+    pub fn cached_row_count(&self) -> usize {
         self.parts.directory.services().len()
     }
 }
 
-fn find_preloaded(store: &Store) -> Vec<ServiceName> {
-    let is_preloaded = |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == Weight::Cold;
+fn find_preloaded(store: &ConfigObjects) -> Vec<ServiceName> {
+    let is_preloaded =
+        |rule: &Rule| rule.replicas.min > 0 || rule.retention.weight == RetentionGoal::Cold;
     let preloaded = store.services().filter(|service| {
         let is_model = matches!(service.backend, Backend::Model(_));
         is_model && store.rule_for(service).is_some_and(is_preloaded)
--- a/crates/tansyknot-control/tests/support/mod.rs
+++ b/crates/tansyknot-control/tests/support/mod.rs
@@ -3,14 +3,14 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tansyknot_config::{document, store::Op};
+use tansyknot_config::{document, objects_in_force::ObjectChange};
 use tansyknot_control::{
     config::{self, Author, ConfigView},
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
-    pools::{Acquired, Ask, Pools},
+    pools::{AcquireOutcome, AcquireRequest, Pools},
     publish::Publisher,
-    reconcile::{Parts, Reconciler},
+    reconcile::{Reconciler, ReconcilerDependencies},
     replicas,
 };
 use tansyknot_core::{
@@ -18,7 +18,7 @@
     engine::Engine,
     host::{Fencing, HostState, Target, TargetKind},
     name::{Incarnation, ServiceName, TargetName, ZoneName},
-    peer::Alone,
+    peer::NoPeers,
     replica::{DaemonRow, SlotState},
     table::Table,
 };
@@ -94,8 +94,8 @@
 
     pub(crate) fn apply_text(&self, text: &str) -> u64 {
         let objects = document::read(text, "test").expect("the test's objects are valid");
-        let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
-        let table = self.table.another_path();
+        let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
+        let table = self.table.new_connection();
         let (head, _) = config::read_head(&table).expect("the table is up");
         let author = Author { name: "test".to_owned(), at_ms: 0 };
         config::apply(&table, head.version, &ops, &author).expect("no other change was accepted")
@@ -110,12 +110,12 @@
 
     /// Starts a daemon that has read neither the configuration nor the list of hosts.
     pub(crate) fn unread_daemon(&self, name: &str) -> Daemon {
-        let table = self.table.another_path();
+        let table = self.table.new_connection();
         let clock: Arc<dyn Clock> = Arc::new(self.clock.clone());
         let hosts = Arc::new(HostView::default());
         let config = Arc::new(ConfigView::default());
         let pools = Arc::new(Pools::new(Box::new(ZoneTwoChoices::default()), Arc::clone(&clock)));
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         let publisher = Arc::new(Publisher {
             config: Arc::clone(&config),
             hosts: Arc::clone(&hosts),
@@ -130,7 +130,7 @@
             availability_zone: ZoneName::from("z0"),
         };
         replicas::register_daemon(&self.table, name, &row).expect("the table is up");
-        let reconciler = Reconciler::new(Parts {
+        let reconciler = Reconciler::new(ReconcilerDependencies {
             table: Arc::new(table.clone()) as Arc<dyn Table>,
             engine: Arc::clone(&self.engines) as Arc<dyn Engine>,
             hosts: Arc::clone(&hosts),
@@ -138,7 +138,7 @@
             pools: Arc::clone(&pools),
             directory,
             publisher: Arc::clone(&publisher),
-            peers: Arc::new(Alone),
+            peers: Arc::new(NoPeers),
             placement: Box::new(NearestCheckpoint),
             retention: Box::new(LeastCost),
             clock,
@@ -172,16 +172,16 @@
     }
 
     /// Requests a target for `service` with a deadline in 60 s.
-    pub(crate) fn request(&self, world: &World, service: &str) -> Acquired {
+    pub(crate) fn request(&self, world: &World, service: &str) -> AcquireOutcome {
         let service = ServiceName::from(service);
         let deadline = world.clock.now() + Duration::from_secs(60);
-        let ask = Ask {
+        let acquire_request = AcquireRequest {
             service: &service,
             waiter: Waiter { rank: 0, deadline },
             prefix: None,
             avoid: &[],
         };
-        self.pools.acquire(&ask, pool_options())
+        self.pools.acquire(&acquire_request, pool_options())
     }
 
     pub(crate) fn step(&self, service: &str) -> tansyknot_core::Result<()> {
@@ -190,7 +190,11 @@
 }
 
 pub(crate) fn pool_options() -> PoolOptions {
-    PoolOptions { availability_zone: ZoneName::from("z0"), per_upstream: 4, waiting_max: 100 }
+    PoolOptions {
+        availability_zone: ZoneName::from("z0"),
+        max_in_flight_per_upstream: 4,
+        max_waiting: 100,
+    }
 }
 
 pub(crate) fn engine_target(i: usize, memory_bytes: u64, fencing: Fencing) -> Target {
--- a/crates/tansyknot-edge/src/gateway/tries.rs
+++ b/crates/tansyknot-edge/src/gateway/attempts.rs
@@ -83,7 +83,7 @@
                 AttemptOutcome::Responded(response) => {
                     if !matches!(response, CallerResponse::Partial(_)) {
                         placement.set_response_time(self.now().since(started_at));
-                        self.target_budget(&target, RetryBudget::success);
+                        self.target_budget(&target, RetryBudget::record_success);
                     }
                     return Ok(response);
                 }
@@ -110,7 +110,7 @@
             publisher: &self.parts.publisher,
             clock: self.parts.clock.as_ref(),
             zone: &self.options.zone,
-            waiting_max: self.options.waiting_max,
+            max_waiting: self.options.max_waiting,
         };
         let placement = placer.place(req, avoid, active.stream)?;
         let now = self.now();
@@ -161,7 +161,7 @@
         let outcome = match attempt::send(self.agent(req), &attempt) {
             Ok(response) => {
                 if let Some(in_flight) = attempt::reported_in_flight(&response) {
-                    self.parts.pools.report(&req.service, &target.name, in_flight);
+                    self.parts.pools.record_in_flight(&req.service, &target.name, in_flight);
                 }
                 self.relay(active, &attempt, response)
             }
@@ -200,10 +200,10 @@
         ]);
         match failure {
             Failure::NotLoaded => {
-                self.parts.pools.close(&req.service, target);
-                self.parts.replicas.not_loaded(&req.service);
+                self.parts.pools.close_target(&req.service, target);
+                self.parts.replicas.report_not_loaded(&req.service);
             }
-            Failure::NotSent => self.parts.pools.close(&req.service, target),
+            Failure::NotSent => self.parts.pools.close_target(&req.service, target),
             Failure::RefusedToStart | Failure::TimedOut | Failure::Broken => {}
         }
     }
@@ -229,7 +229,7 @@
             Failure::TimedOut => false,
         };
         // A request with no other target to try is refused at once, not at its deadline.
-        let has_other_target = self.parts.pools.has_upstream_besides(&req.service, &attempts.avoid);
+        let has_other_target = self.parts.pools.has_other_upstream(&req.service, &attempts.avoid);
         is_safe
             && has_other_target
             && self.target_budget(target, RetryBudget::take)
@@ -247,7 +247,7 @@
     match failure {
         Failure::NotSent | Failure::NotLoaded | Failure::RefusedToStart => {
             let detail = format!("no target started the request: {code}");
-            Refusal::later(Reason::NoTarget, TARGET_RETRY_AFTER, detail)
+            Refusal::retry_later(Reason::NoTarget, TARGET_RETRY_AFTER, detail)
         }
         Failure::TimedOut => Refusal::unknown(Reason::DeadlinePassed, "the target was too slow"),
         Failure::Broken => Refusal::unknown(Reason::TargetFailed, "the connection broke"),
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -4,7 +4,7 @@
 use std::{net::TcpStream, sync::mpsc::Receiver, time::Duration};
 
 use tansyknot_control::{
-    pools::{Acquired, Ask, Pools, Signal},
+    pools::{AcquireOutcome, AcquireRequest, Pools, WaitOutcome},
     publish::Publisher,
 };
 use tansyknot_core::{
@@ -12,7 +12,7 @@
     name::{ServiceName, TargetName, ZoneName},
     refusal::{Reason, Refusal},
 };
-use tansyknot_http::presence;
+use tansyknot_http::disconnect;
 use tansyknot_policy::{
     pool::PoolOptions,
     queue::{Ticket, Waiter},
@@ -34,7 +34,7 @@
     /// The availability zone of this daemon.
     pub zone: &'a ZoneName,
     /// The maximum number of requests that wait for one service.
-    pub waiting_max: usize,
+    pub max_waiting: usize,
 }
 
 /// A request's slot at a target, which is released when this value is dropped.
@@ -73,21 +73,21 @@
         avoid: &[TargetName],
         caller: &TcpStream,
     ) -> Result<Placement<'a>, Refusal> {
-        let ask = Ask {
+        let acquire_request = AcquireRequest {
             service: &req.service,
             waiter: Waiter { rank: req.rank(), deadline: req.deadline },
             prefix: req.prefix,
             avoid,
         };
         let options = self.options(req);
-        if !self.pools.prepare(&req.service, &options) {
+        if !self.pools.ensure_pool(&req.service, &options) {
             // A new pool is filled from the rows and hosts that are already known.
             self.publisher.publish(&req.service);
         }
-        match self.pools.acquire(&ask, options) {
-            Acquired::Granted(target) => Ok(self.placement(req, target, false)),
-            Acquired::Refused(refusal) => Err(refusal),
-            Acquired::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
+        match self.pools.acquire(&acquire_request, options) {
+            AcquireOutcome::Granted(target) => Ok(self.placement(req, target, false)),
+            AcquireOutcome::Refused(refusal) => Err(refusal),
+            AcquireOutcome::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
         }
     }
 
@@ -95,14 +95,14 @@
         &self,
         req: &IdentifiedRequest,
         ticket: Ticket,
-        rx: &Receiver<Signal>,
+        rx: &Receiver<WaitOutcome>,
         caller: &TcpStream,
     ) -> Result<Placement<'a>, Refusal> {
         loop {
             match self.pools.wait(rx, CALLER_POLL_INTERVAL) {
-                Some(Signal::Granted(target)) => return Ok(self.placement(req, target, true)),
-                Some(Signal::Refused(refusal)) => return Err(refusal),
-                None if presence::has_left(caller) => {
+                Some(WaitOutcome::Granted(target)) => return Ok(self.placement(req, target, true)),
+                Some(WaitOutcome::Refused(refusal)) => return Err(refusal),
+                None if disconnect::has_disconnected(caller) => {
                     self.pools.abandon(&req.service, ticket, rx);
                     return Err(Refusal::not_run(Reason::CallerLeft, "the caller left the queue"));
                 }
@@ -110,7 +110,7 @@
                     self.pools.abandon(&req.service, ticket, rx);
                     let retry = self.pools.demand(&req.service).load_time;
                     let detail = "no replica was free in time";
-                    return Err(Refusal::later(Reason::DeadlinePassed, retry, detail));
+                    return Err(Refusal::retry_later(Reason::DeadlinePassed, retry, detail));
                 }
                 None => {}
             }
@@ -135,8 +135,8 @@
     fn options(&self, req: &IdentifiedRequest) -> PoolOptions {
         PoolOptions {
             availability_zone: self.zone.clone(),
-            per_upstream: req.rule.requests.in_flight_per_replica,
-            waiting_max: self.waiting_max,
+            max_in_flight_per_upstream: req.rule.requests.in_flight_per_replica,
+            max_waiting: self.max_waiting,
         }
     }
 }
--- a/crates/tansyknot-edge/tests/answers.rs
+++ b/crates/tansyknot-edge/tests/answers.rs
@@ -213,7 +213,7 @@
         statuses.flat_map(|s| s.models).map(|m| m.in_flight).sum::<u32>()
     };
     while running() > 0 || daemon.pools.in_flight() > 0 {
-        daemon.watch.look();
+        daemon.watch.check();
         std::thread::yield_now();
     }
     let cancelled = daemon.orders.cancelled.lock().expect("the lock is not poisoned");
@@ -268,13 +268,13 @@
     stream
         .write_all(&request("POST /services/letters/x", &[], "left"))
         .expect("the daemon is listening");
-    while platform.plain.runs("left") == 0 {
+    while platform.plain.executions_of("left") == 0 {
         std::thread::yield_now();
     }
     drop(stream);
     let mut left = 0;
     while daemon.pools.in_flight() > 0 {
-        left += daemon.watch.look();
+        left += daemon.watch.check();
         std::thread::yield_now();
     }
     assert_eq!(left, 1, "the slot was not released by the watch");
--- a/crates/tansyknot-edge/tests/bad_input.rs
+++ b/crates/tansyknot-edge/tests/bad_input.rs
@@ -77,7 +77,7 @@
 fn connection_over_the_limit_is_refused_until_others_are_closed() {
     let platform = TestPlatform::new();
     let options =
-        tansyknot_edge::http::server::ServerOptions { connections: 2, ..default_options() };
+        tansyknot_edge::http::server::ServerOptions { max_connections: 2, ..default_options() };
     let daemon = platform.start_daemon_with(&options);
     let idle: Vec<TcpStream> = (0..2)
         .map(|_| TcpStream::connect(daemon.address).expect("the daemon is listening"))
@@ -168,7 +168,7 @@
     let mut buf = [0; 4096];
     let n = stream.read(&mut buf).expect("the daemon responds");
     assert!(String::from_utf8_lossy(&buf[..n]).contains("200 OK"));
-    assert_eq!(platform.plain.runs("hello"), 1);
+    assert_eq!(platform.plain.executions_of("hello"), 1);
     // The same connection serves the next request.
     stream.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").expect("the daemon is listening");
     let n = stream.read(&mut buf).expect("the daemon responds");
--- a/crates/tansyknot-edge/tests/support/mod.rs
+++ b/crates/tansyknot-edge/tests/support/mod.rs
@@ -12,11 +12,11 @@
 
 use tansyknot_config::{
     document,
-    store::{self, Op},
+    objects_in_force::{self, ObjectChange},
 };
 use tansyknot_control::{
     config::{self, Author, ConfigView},
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::Pools,
     publish::Publisher,
@@ -31,8 +31,8 @@
 };
 use tansyknot_edge::{
     explain::Explainer,
-    gateway::{Gateway, GatewayOptions, Parts, Replicas},
-    http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions},
+    gateway::{EngineOrders, Gateway, GatewayDependencies, GatewayOptions},
+    http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions},
     watch::CallerWatch,
 };
 use tansyknot_policy::routing::ZoneTwoChoices;
@@ -40,7 +40,7 @@
     engine::{self, Engine, EngineOptions},
     fake::{FakeHosts, FakeTable},
     plain::{self, PlainState},
-    server::Running,
+    server::RunningServer,
 };
 
 pub(crate) const KEY: &str = "test-key";
@@ -112,7 +112,7 @@
     pub(crate) hosts: FakeHosts,
     pub(crate) engines: Vec<Arc<Engine>>,
     pub(crate) plain: Arc<PlainState>,
-    running: Vec<Running>,
+    running: Vec<RunningServer>,
 }
 
 /// A pipeline and its server.
@@ -133,8 +133,8 @@
     pub(crate) cancelled: Mutex<Vec<AttemptId>>,
 }
 
-impl Replicas for RecordedOrders {
-    fn not_loaded(&self, service: &ServiceName) {
+impl EngineOrders for RecordedOrders {
+    fn report_not_loaded(&self, service: &ServiceName) {
         self.not_loaded.lock().expect("the lock is not poisoned").push(service.clone());
     }
 
@@ -183,9 +183,9 @@
         let hosts = FakeHosts::default();
         hosts.state.set(targets);
         let table = FakeTable::default();
-        let text = OBJECTS.replace("HASH", &store::key_hash(KEY));
+        let text = OBJECTS.replace("HASH", &objects_in_force::key_hash(KEY));
         let objects = document::read(&text, "test").expect("the test objects are valid");
-        let ops: Vec<Op> = objects.into_iter().map(Op::Put).collect();
+        let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
         let author = Author { name: "test".to_owned(), at_ms: 0 };
         config::apply(&table, 0, &ops, &author).expect("there is no concurrent writer");
         Self { table, hosts, engines, plain, running }
@@ -209,15 +209,15 @@
 
     /// Starts a daemon with these options.
     pub(crate) fn start_daemon_with(&self, options: &ServerOptions) -> TestDaemon {
-        let table = self.table.another_path();
+        let table = self.table.new_connection();
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
         let config = Arc::new(ConfigView::default());
         config.follow(&table).expect("the table is up");
         let hosts = Arc::new(HostView::default());
         hosts.refresh(&self.hosts, clock.now()).expect("the list is up");
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         for service in ["permit", "once-model"] {
-            directory.keep(&ServiceName::from(service), 1, &ready_row(), clock.now());
+            directory.store(&ServiceName::from(service), 1, &ready_row(), clock.now());
         }
         let pools = Arc::new(Pools::new(Box::new(ZoneTwoChoices::default()), Arc::clone(&clock)));
         let publisher = Arc::new(Publisher {
@@ -230,13 +230,13 @@
         let watch: Arc<CallerWatch> = Arc::default();
         let explainer: Arc<Explainer> = Arc::default();
         let orders: Arc<RecordedOrders> = Arc::default();
-        let parts = Parts {
+        let parts = GatewayDependencies {
             config,
             hosts,
             pools: Arc::clone(&pools),
             publisher,
             table: Arc::new(table.clone()),
-            replicas: Arc::clone(&orders) as Arc<dyn Replicas>,
+            replicas: Arc::clone(&orders) as Arc<dyn EngineOrders>,
             recorder: Arc::new(NoRecorder),
             clock,
             lifecycle: Arc::clone(&lifecycle),
@@ -247,7 +247,7 @@
             daemon: DaemonName::from("d0"),
             incarnation: Incarnation::from("d0#1"),
             zone: ZoneName::from("z0"),
-            waiting_max: 16,
+            max_waiting: 16,
             deadline_max: Duration::from_secs(60),
         };
         let handler: Arc<dyn Handler> = Arc::new(Gateway::new(parts, gateway));
@@ -260,13 +260,13 @@
 
     /// Returns how many requests the engines have started.
     pub(crate) fn started(&self) -> usize {
-        self.engines.iter().map(|e| e.ran().requests.len()).sum()
+        self.engines.iter().map(|e| e.executed_requests().requests.len()).sum()
     }
 }
 
 impl Drop for TestPlatform {
     fn drop(&mut self) {
-        self.running.iter().for_each(Running::stop);
+        self.running.iter().for_each(RunningServer::stop);
     }
 }
 
@@ -280,13 +280,13 @@
 
 pub(crate) fn default_options() -> ServerOptions {
     ServerOptions {
-        head_bytes: 4096,
-        body_bytes: 64 << 10,
-        connections: 64,
+        max_head_bytes: 4096,
+        max_body_bytes: 64 << 10,
+        max_connections: 64,
         receive_timeout: Duration::from_secs(5),
         idle_timeout: Duration::from_millis(300),
         write_timeout: Duration::from_secs(5),
-        kept: KeptConnections::ClosedWhileDraining,
+        on_drain: DrainBehaviour::CloseIdle,
     }
 }
 
--- a/crates/tansyknot-standins/src/hosts.rs
+++ b/crates/tansyknot-standins/src/hosts.rs
@@ -13,11 +13,11 @@
     name::TargetName,
 };
 use tansyknot_edge::http::{
-    respond::{self, After, Whole},
+    respond::{self, ConnectionAction, FullResponse},
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the list can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     }
 
     /// Sets the state of a target, or removes the target from the list if `state` is `None`.
-    pub fn mark(&self, name: &TargetName, state: Option<HostState>) {
+    pub fn set_state(&self, name: &TargetName, state: Option<HostState>) {
         let mut changes = self.changes.lock().expect("no holder of the lock panics");
         let mut targets = changes.last().map(|c| c.targets.clone()).unwrap_or_default();
         match state {
@@ -73,18 +73,18 @@
         &self,
         req: &Request,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         let body = serde_json::to_vec(&self.list())?;
         let etag = format!("\"{:016x}\"", xxhash_rust::xxh3::xxh3_64(&body));
         let is_unchanged = req.head.header("if-none-match") == Some(etag.as_str());
-        let response = Whole {
+        let response = FullResponse {
             status: if is_unchanged { 304 } else { 200 },
             content_type: "application/json".to_owned(),
             headers: vec![("etag".to_owned(), etag)],
             body: if is_unchanged { Vec::new() } else { body },
         };
-        respond::write_whole(stream, &response, after)?;
+        respond::write_response(stream, &response, after)?;
         Ok(after)
     }
 
@@ -99,7 +99,12 @@
 }
 
 impl Handler for HostsState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
@@ -114,7 +119,7 @@
             }
             ("POST", "/mark") => {
                 let request: MarkRequest = server::parse_body(&req)?;
-                self.mark(&request.target, request.state);
+                self.set_state(&request.target, request.state);
                 server::json(stream, after, 200, &())
             }
             _ => server::json(stream, after, 404, &"no such page"),
@@ -127,7 +132,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<HostsState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<HostsState>)> {
     let state = Arc::new(HostsState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknot-standins/src/plain.rs
+++ b/crates/tansyknot-standins/src/plain.rs
@@ -11,11 +11,11 @@
 
 use serde::{Deserialize, Serialize};
 use tansyknot_edge::http::{
-    respond::After,
+    respond::ConnectionAction,
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the service can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,13 +48,18 @@
 
 impl PlainState {
     /// Returns how often a call with this body was executed.
-    pub fn runs(&self, body: &str) -> u64 {
+    pub fn executions_of(&self, body: &str) -> u64 {
         self.runs.lock().expect("no holder of the lock panics").get(body).copied().unwrap_or(0)
     }
 }
 
 impl Handler for PlainState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
@@ -76,7 +81,7 @@
         }
         if faults.cut_answers {
             stream.shutdown(Shutdown::Both)?;
-            return Ok(After::Close);
+            return Ok(ConnectionAction::Close);
         }
         let caller = req.head.header("x-caller");
         let traceparent = req.head.header("traceparent");
@@ -90,7 +95,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<PlainState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<PlainState>)> {
     let state = Arc::new(PlainState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknot-standins/src/table.rs
+++ b/crates/tansyknot-standins/src/table.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use tansyknot_core::table::{ABSENT, Row, Transaction};
 use tansyknot_edge::http::{
-    respond::After,
+    respond::ConnectionAction,
     server::{Handler, Request},
 };
 
-use crate::server::{self, Running};
+use crate::server::{self, RunningServer};
 
 /// Faults that the table can simulate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -170,8 +170,8 @@
         &self,
         req: &Request,
         stream: &mut TcpStream,
-        after: After,
-    ) -> io::Result<After> {
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         match req.head.path.as_str() {
             "/row" => {
                 let key = server::query_param(req, "key");
@@ -198,7 +198,12 @@
 }
 
 impl Handler for TableState {
-    fn handle(&self, req: Request, stream: &mut TcpStream, after: After) -> io::Result<After> {
+    fn handle(
+        &self,
+        req: Request,
+        stream: &mut TcpStream,
+        after: ConnectionAction,
+    ) -> io::Result<ConnectionAction> {
         if let Some(result) = server::handle_faults(&req, stream, after, &self.faults) {
             return result;
         }
@@ -211,9 +216,9 @@
     }
 }
 
-fn close_connection(stream: &mut TcpStream) -> io::Result<After> {
+fn close_connection(stream: &mut TcpStream) -> io::Result<ConnectionAction> {
     stream.shutdown(Shutdown::Both)?;
-    Ok(After::Close)
+    Ok(ConnectionAction::Close)
 }
 
 /// Starts a table on `address`.
@@ -221,7 +226,7 @@
 /// # Errors
 ///
 /// Fails if the address can't be bound.
-pub fn start(address: SocketAddr) -> io::Result<(Running, Arc<TableState>)> {
+pub fn start(address: SocketAddr) -> io::Result<(RunningServer, Arc<TableState>)> {
     let state = Arc::new(TableState::default());
     let running = server::start(address, Arc::clone(&state) as Arc<dyn Handler>)?;
     Ok((running, state))
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -14,7 +14,7 @@
 use tansyknot_config::settings::{Limits, Settings};
 use tansyknot_control::{
     config::ConfigView,
-    directory::Directory,
+    directory::ReplicaCache,
     hosts::HostView,
     pools::Pools,
     publish::Publisher,
@@ -34,11 +34,11 @@
 use tansyknot_edge::{
     explain::Explainer,
     gateway::{self, Gateway, GatewayOptions},
-    http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions},
+    http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions},
     watch::CallerWatch,
 };
 use tansyknot_gossip::{
-    members::{MembersOptions, Myself},
+    members::{LocalMember, MembersOptions},
     node::Node,
 };
 use tansyknot_platform::{engine::HttpEngine, host::HttpHostList, table::HttpTable};
@@ -105,7 +105,7 @@
     hosts: Arc<HostView>,
     config: Arc<ConfigView>,
     pools: Arc<Pools>,
-    directory: Arc<Directory>,
+    directory: Arc<ReplicaCache>,
     publisher: Arc<Publisher>,
     node: Arc<Node>,
     recorder: Arc<dyn Recorder>,
@@ -121,7 +121,7 @@
         let timeout = settings.platform.timeout.duration();
         let hosts = Arc::new(HostView::default());
         let config = Arc::new(ConfigView::default());
-        let directory = Arc::new(Directory::default());
+        let directory = Arc::new(ReplicaCache::default());
         let routing = Box::new(ZoneTwoChoices::default());
         let pools = Arc::new(Pools::new(routing, Arc::clone(&clock)));
         let publisher = Publisher {
@@ -150,7 +150,7 @@
     }
 
     fn reconciler(&self) -> Arc<Reconciler> {
-        Arc::new(Reconciler::new(reconcile::Parts {
+        Arc::new(Reconciler::new(reconcile::ReconcilerDependencies {
             table: Arc::clone(&self.table),
             engine: Arc::clone(&self.engine),
             hosts: Arc::clone(&self.hosts),
@@ -172,7 +172,7 @@
             Arc::clone(&self.engine),
             Arc::clone(&self.clock),
         );
-        let parts = gateway::Parts {
+        let parts = gateway::GatewayDependencies {
             config: Arc::clone(&self.config),
             hosts: Arc::clone(&self.hosts),
             pools: Arc::clone(&self.pools),
@@ -189,7 +189,7 @@
             daemon: settings.name.clone(),
             incarnation: self.incarnation.clone(),
             zone: settings.availability_zone.clone(),
-            waiting_max: settings.limits.waiting_per_service as usize,
+            max_waiting: settings.limits.waiting_per_service as usize,
             deadline_max: settings.limits.deadline_max.duration(),
         };
         Gateway::new(parts, options)
@@ -333,11 +333,11 @@
 }
 
 fn bind_node(settings: &Settings, clock: &Arc<dyn Clock>) -> io::Result<Node> {
-    let me = Myself {
+    let me = LocalMember {
         daemon: settings.name.clone(),
         address: settings.listen.peers,
         availability_zone: settings.availability_zone.clone(),
-        number: clock.wall_ms(),
+        incarnation: clock.wall_ms(),
     };
     Node::bind(me, MembersOptions::default(), Arc::clone(clock))
 }
@@ -349,13 +349,13 @@
     lifecycle: &Arc<Lifecycle>,
 ) -> JoinHandle<()> {
     let options = ServerOptions {
-        head_bytes: limits.head.get(),
-        body_bytes: limits.body.get(),
-        connections: limits.connections,
+        max_head_bytes: limits.head.get(),
+        max_body_bytes: limits.body.get(),
+        max_connections: limits.connections,
         receive_timeout: limits.receive_timeout.duration(),
         idle_timeout: limits.idle_timeout.duration(),
         write_timeout: limits.write_timeout.duration(),
-        kept: KeptConnections::ClosedWhileDraining,
+        on_drain: DrainBehaviour::CloseIdle,
     };
     let lifecycle = Arc::clone(lifecycle);
     spawn("callers", move || {
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -13,7 +13,7 @@
 };
 
 use tansyknot_adapter::{header::PlatformHeaders, runner::Runners, store::RowStore};
-use tansyknot_config::{fleet::FleetSettings, unit::Period};
+use tansyknot_config::{fleet::FleetSettings, unit::PositiveDuration};
 use tansyknot_core::{
     clock::{BootInstant, Clock, SystemClock},
     event, name,
@@ -34,7 +34,7 @@
     state::{State, StateOptions},
     task::TaskRunner,
 };
-use tansyknot_http::server::{self, Handler, KeptConnections, Lifecycle, ServerOptions};
+use tansyknot_http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions};
 
 use crate::page::PageRecorder;
 use pages::{MetricsPage, ReadyPage};
@@ -206,7 +206,7 @@
 fn access(settings: &FleetSettings) -> AccessOptions {
     let bounds = &settings.bounds;
     let revoke_within = bounds.revoke_within.filter(|_| bounds.revoke_fail_closed);
-    let revoke_within = revoke_within.map(Period::duration);
+    let revoke_within = revoke_within.map(PositiveDuration::duration);
     AccessOptions {
         view: ViewOptions::of(revoke_within, bounds.config_within.duration()),
         window: bounds.quota_window.duration(),
@@ -225,18 +225,18 @@
 fn caller_options(settings: &FleetSettings) -> ServerOptions {
     let limits = &settings.limits;
     ServerOptions {
-        head_bytes: limits.head.get(),
-        body_bytes: limits.body.get(),
-        connections: limits.connections,
+        max_head_bytes: limits.head.get(),
+        max_body_bytes: limits.body.get(),
+        max_connections: limits.connections,
         receive_timeout: limits.receive_timeout.duration(),
         idle_timeout: limits.idle_timeout.duration(),
         write_timeout: limits.write_timeout.duration(),
-        kept: KeptConnections::ServedWhileDraining,
+        on_drain: DrainBehaviour::ServeIdle,
     }
 }
 
 fn page_options(settings: &FleetSettings) -> ServerOptions {
-    ServerOptions { connections: PAGE_CONNECTIONS, ..caller_options(settings) }
+    ServerOptions { max_connections: PAGE_CONNECTIONS, ..caller_options(settings) }
 }
 
 fn serve(
