--- a/crates/tansyknot-core/src/clock.rs
+++ b/crates/tansyknot-core/src/clock.rs
@@ -57,8 +57,8 @@
 
 /// A point on the system's boot clock, which keeps counting while the host is suspended.
 ///
-/// It replaces `std::time::Instant`, which stops during a suspension: a lease, a view or a deadline
-/// from before the suspension would stay valid too long after the host resumes.
+/// It replaces the standard library's `Instant`, which stops during a suspension: a lease, a view or
+/// a deadline from before the suspension would stay valid too long after the host resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant(Duration);
 
