--- a/crates/tansyknotd/src/control.rs
+++ b/crates/tansyknotd/src/control.rs
@@ -1,4 +1,5 @@
-//! The threads that carry the control loop: follow, observe, step.
+//! The threads of the control loop: they follow the configuration, observe the platform and take
+//! reconciliation steps.
 
 use std::{
     sync::{
@@ -37,62 +38,61 @@
 
 use crate::loops::{self, StopFlag};
 
-/// Threads that take steps; a step waits for the table and for engines.
-const STEPPERS: usize = 8;
-/// How often a thread without a step to take looks whether to stop.
-const STOP_LOOK: Duration = Duration::from_millis(100);
-/// How often it is looked whether every replica row is to be read.
-const SCAN_LOOK: Duration = Duration::from_secs(10);
-/// Every replica row is read at most this often.
-const SCAN_EVERY: Duration = Duration::from_secs(30);
-/// And no more often than once in this long for each row: a row has about 350 bytes on its way,
-/// so that reading them all takes 2.5 KB/s of a daemon's 19.
-const SCAN_EACH_ROW: Duration = Duration::from_millis(140);
-/// Without a change of the membership the rows are read this many times less often.
-const SCAN_QUIET: u32 = 4;
-/// How often callers with an attempt under way are looked at.
-const WATCH_EVERY: Duration = Duration::from_millis(200);
-/// How often old rows of idempotency keys are looked for.
-const SWEEP_EVERY: Duration = Duration::from_secs(60);
-/// How often the table is asked for daemons that this one does not know, at first.
-const JOIN_EVERY: Duration = Duration::from_secs(10);
-/// And after this many rounds, one round in as many: news of members spreads by itself then, and
-/// the table only joins parts that have lost each other.
-const JOIN_FIRST: u32 = 6;
-/// One later round in this many asks the table.
-const JOIN_LATER: u32 = 30;
-/// How often the use of services is reported to their coordinators.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
-/// Old rows deleted at once.
-const SWEEP_ROWS: usize = 200;
+/// Several threads take steps, as each step blocks on the table and on engines.
+const STEP_THREADS: usize = 8;
+/// How often an idle step thread checks the stop flag.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often the scan loop checks whether a full scan of the replica rows is due.
+const SCAN_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+const MIN_SCAN_INTERVAL: Duration = Duration::from_secs(30);
+/// The scan interval is at least this long per row. A row takes about 350 bytes on the wire, so full
+/// scans use at most 2.5 KB/s of a daemon's 19 KB/s.
+const SCAN_INTERVAL_PER_ROW: Duration = Duration::from_millis(140);
+/// Multiplies the scan interval while the membership does not change.
+const QUIET_SCAN_FACTOR: u32 = 4;
+/// How often it is checked whether callers with an attempt in progress are still connected.
+const CALLER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How often expired rows of idempotency keys are deleted.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
+/// How often the table's list of daemons is read during the first rounds.
+const JOIN_INTERVAL: Duration = Duration::from_secs(10);
+/// Rounds that each read the table. After them gossip spreads changes of the membership, and the
+/// table only serves to rejoin partitions.
+const INITIAL_JOIN_ROUNDS: u32 = 6;
+/// Rounds between two reads of the table after the initial rounds.
+const LATER_JOIN_PERIOD: u32 = 30;
+/// How often the usage of services is reported to their coordinators.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of expired rows deleted in one call.
+const MAX_SWEPT_ROWS: usize = 200;
 
-/// What the threads work with.
+/// The components that the control threads use.
 pub struct Control {
     /// The table service.
     pub table: Arc<dyn Table>,
     /// The platform's list of hosts.
     pub host_list: Arc<dyn HostList>,
-    /// The list as last read.
+    /// The list of hosts as last read.
     pub hosts: Arc<HostView>,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Arc<ConfigView>,
-    /// The pools.
+    /// The pools of targets, with their request queues.
     pub pools: Arc<Pools>,
-    /// Opens targets to requests.
+    /// Publishes targets to the pools.
     pub publisher: Arc<Publisher>,
-    /// The control loop.
+    /// Takes the reconciliation steps.
     pub reconciler: Arc<Reconciler>,
-    /// The other daemons.
+    /// The membership of daemons.
     pub node: Arc<Node>,
-    /// The callers with an attempt under way.
+    /// The callers with an attempt in progress.
     pub watch: Arc<CallerWatch>,
-    /// Where figures go.
+    /// The recorder of metrics.
     pub recorder: Arc<dyn Recorder>,
     /// The clock.
     pub clock: Arc<dyn Clock>,
 }
 
-/// Logs when something outside stops answering and when it answers again.
+/// Logs when an external service becomes unavailable and when it recovers.
 #[derive(Debug)]
 pub struct Availability {
     down: Event,
@@ -101,13 +101,13 @@
 }
 
 impl Availability {
-    /// Makes a watch over something that is taken to answer.
+    /// Creates the state of a service that is assumed to be available.
     pub fn new(down: Event, up: Option<Event>) -> Self {
         Self { down, up, is_up: true }
     }
 
-    /// Takes in the result of a call.
-    pub fn note<T>(&mut self, result: &Result<T, Error>) {
+    /// Records the result of a call, and logs a change of availability.
+    pub fn record<T>(&mut self, result: &Result<T, Error>) {
         match result {
             Ok(_) if !self.is_up => {
                 self.is_up = true;
@@ -128,7 +128,7 @@
 ///
 /// # Panics
 ///
-/// Panics if the system has no thread left.
+/// Panics if a thread can't be spawned.
 pub fn start(
     control: &Arc<Control>,
     refresh: &Refresh,
@@ -136,33 +136,33 @@
 ) -> Vec<JoinHandle<()>> {
     let (tx, rx) = mpsc::channel();
     let rx = Arc::new(Mutex::new(rx));
-    nudge(control, &tx);
+    step_on_waiting_request(control, &tx);
     let mut threads = vec![
         follow_config(control, refresh, stop),
         follow_hosts(control, refresh, stop),
         schedule(control, refresh, stop, tx),
-        scan(control, stop),
-        watch(control, stop),
-        sweep(control, stop),
-        peers(control, stop),
-        join(control, stop),
+        scan_rows(control, stop),
+        watch_callers(control, stop),
+        sweep_idempotency_keys(control, stop),
+        poll_peers(control, stop),
+        join_listed_daemons(control, stop),
         report_use(control, stop),
     ];
-    for _ in 0..STEPPERS {
+    for _ in 0..STEP_THREADS {
         threads.push(stepper(control, &rx, stop));
     }
     threads
 }
 
-/// Has a step taken at once for a service whose first request begins to wait.
-fn nudge(control: &Arc<Control>, tx: &Sender<ServiceName>) {
+/// Schedules an immediate step for a service when its first request starts to wait.
+fn step_on_waiting_request(control: &Arc<Control>, tx: &Sender<ServiceName>) {
     let tx = Mutex::new(tx.clone());
     let reconciler = Arc::downgrade(&control.reconciler);
     control.pools.set_on_waiting(Box::new(move |service| {
         if let Some(reconciler) = reconciler.upgrade() {
             reconciler.receive_change(service);
         }
-        // Without steppers the daemon is stopping, and the request is given up at its deadline.
+        // The send fails only while the daemon stops; the request then fails at its deadline.
         let _ = tx.lock().expect("no holder of the lock panics").send(service.clone());
     }));
 }
@@ -174,11 +174,11 @@
 ) -> JoinHandle<()> {
     let control = Arc::clone(control);
     let mut table = Availability::new(event::TABLE_DOWN, Some(event::TABLE_UP));
-    loops::every("config", refresh.config.duration(), stop, move || {
+    loops::spawn_periodic("config", refresh.config.duration(), stop, move || {
         let followed = control.config.follow(control.table.as_ref());
-        table.note(&followed);
+        table.record(&followed);
         if matches!(followed, Ok(FollowOutcome::Applied(_))) {
-            // A rule may now choose other targets for plain services.
+            // A changed rule may select other targets for plain services.
             control.publisher.publish_all();
         }
     })
@@ -187,9 +187,9 @@
 fn follow_hosts(control: &Arc<Control>, refresh: &Refresh, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
     let mut list = Availability::new(event::HOSTS_DOWN, None);
-    loops::every("hosts", refresh.hosts.duration(), stop, move || {
+    loops::spawn_periodic("hosts", refresh.hosts.duration(), stop, move || {
         let refreshed = control.hosts.refresh(control.host_list.as_ref(), control.clock.now());
-        list.note(&refreshed);
+        list.record(&refreshed);
         if refreshed == Ok(true) {
             control.publisher.publish_all();
         }
@@ -203,10 +203,10 @@
     tx: Sender<ServiceName>,
 ) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    loops::every("schedule", refresh.replicas.duration(), stop, move || {
+    loops::spawn_periodic("schedule", refresh.replicas.duration(), stop, move || {
         control.pools.refuse_expired();
         for service in control.reconciler.due() {
-            // The steppers outlive this loop or end with it.
+            // The send fails only after the step threads have stopped, when no step is needed.
             let _ = tx.send(service);
         }
     })
@@ -220,80 +220,82 @@
     let control = Arc::clone(control);
     let rx = Arc::clone(rx);
     let stop = Arc::clone(stop);
-    let take = move || rx.lock().expect("no holder of the lock panics").recv_timeout(STOP_LOOK);
+    let next_service =
+        move || rx.lock().expect("no holder of the lock panics").recv_timeout(STOP_CHECK_INTERVAL);
     thread::Builder::new()
         .name("step".to_owned())
         .spawn(move || {
             while !stop.is_set() {
-                let Ok(service) = take() else { continue };
-                // A failed step has given up what it must; the config loop logs the table's state.
+                let Ok(service) = next_service() else { continue };
+                // A failed step releases what it must by itself; the configuration loop logs the
+                // availability of the table.
                 let _ = control.reconciler.step(&service);
             }
         })
-        .expect("the system has a thread left at the start")
+        .expect("a step thread can be spawned at startup")
 }
 
-fn scan(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
+fn scan_rows(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    let mut seen = None;
-    loops::every("scan", SCAN_LOOK, stop, move || {
+    let mut last_scan = None;
+    loops::spawn_periodic("scan", SCAN_CHECK_INTERVAL, stop, move || {
         let (epoch, now) = (control.node.epoch(), control.clock.now());
         let rows = u32::try_from(control.reconciler.cached_row_count()).unwrap_or(u32::MAX);
-        let pause = SCAN_EVERY.max(SCAN_EACH_ROW.saturating_mul(rows));
-        // After a change a daemon may coordinate services that it has never heard of.
-        let is_due = seen.is_none_or(|(old, at)| {
-            let factor = if old == epoch { SCAN_QUIET } else { 1 };
-            now.since(at) >= pause * factor
+        let interval = MIN_SCAN_INTERVAL.max(SCAN_INTERVAL_PER_ROW.saturating_mul(rows));
+        // After a change of the membership this daemon may coordinate services that it has no row of.
+        let is_due = last_scan.is_none_or(|(old, at)| {
+            let factor = if old == epoch { QUIET_SCAN_FACTOR } else { 1 };
+            now.since(at) >= interval * factor
         });
-        // The next round reads what this one could not.
+        // A failed scan is retried in the next round.
         if is_due && control.reconciler.read_all_rows().is_ok() {
-            seen = Some((epoch, now));
+            last_scan = Some((epoch, now));
         }
     })
 }
 
-fn watch(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
+fn watch_callers(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    loops::every("watch", WATCH_EVERY, stop, move || {
+    loops::spawn_periodic("watch", CALLER_CHECK_INTERVAL, stop, move || {
         control.watch.check();
     })
 }
 
-fn sweep(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
+fn sweep_idempotency_keys(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    // One daemon sweeps: the coordinator of a name that no service can have.
+    // Only one daemon sweeps: the coordinator of a name that no service can have.
     let sweeper = ServiceName::from("/sweep");
-    loops::every("sweep", SWEEP_EVERY, stop, move || {
+    loops::spawn_periodic("sweep", SWEEP_INTERVAL, stop, move || {
         if !control.node.is_coordinator(&sweeper) {
             return;
         }
         let at_ms = control.clock.wall_ms();
-        while let Ok(1..) = idempotency::sweep(control.table.as_ref(), at_ms, SWEEP_ROWS) {}
+        while let Ok(1..) = idempotency::sweep(control.table.as_ref(), at_ms, MAX_SWEPT_ROWS) {}
     })
 }
 
-/// Receives datagrams and moves the membership's rounds on.
-fn peers(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
+/// Receives datagrams and runs the rounds of the membership protocol.
+fn poll_peers(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    loops::every("peers", Duration::ZERO, stop, move || control.node.poll())
+    loops::spawn_periodic("peers", Duration::ZERO, stop, move || control.node.poll())
 }
 
-/// Takes in the daemons that the table lists.
-fn join(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
+/// Adds the daemons that the table lists to the membership.
+fn join_listed_daemons(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
     let mut round = 0;
-    loops::every("join", JOIN_EVERY, stop, move || {
+    loops::spawn_periodic("join", JOIN_INTERVAL, stop, move || {
         round += 1;
-        if round > JOIN_FIRST && !round.is_multiple_of(JOIN_LATER) {
+        if round > INITIAL_JOIN_ROUNDS && !round.is_multiple_of(LATER_JOIN_PERIOD) {
             return;
         }
-        // Without the table the members that are known stay.
+        // If the table can't be read, the membership stays as it is.
         let Ok(daemons) = replicas::read_daemons(control.table.as_ref()) else { return };
         let updates = daemons.into_iter().map(|(daemon, row)| MemberUpdate {
             daemon: DaemonName::from(daemon.as_str()),
             address: row.peer_address,
             availability_zone: row.availability_zone,
-            // The member itself knows its number; any word of its own goes before this.
+            // Only the member knows its incarnation; any message of its own overrides this update.
             incarnation: 0,
             liveness: Liveness::Alive,
         });
@@ -301,21 +303,21 @@
     })
 }
 
-/// Counts the accelerator time since the last round.
-fn record_accelerators(recorder: &dyn Recorder, used: &AcceleratorUse) {
-    let ms = u64::try_from(REPORT_EVERY.as_millis()).unwrap_or(u64::MAX);
-    let idle = used.loaded - used.busy;
-    recorder.count("accelerator.loaded_ms", &used.service, u64::from(used.loaded) * ms);
-    recorder.count("accelerator.busy_ms", &used.service, u64::from(used.busy) * ms);
-    recorder.count("accelerator.idle_ms", &used.service, u64::from(idle) * ms);
+/// Records the accelerator time of one report interval.
+fn record_accelerators(recorder: &dyn Recorder, usage: &AcceleratorUse) {
+    let ms = u64::try_from(REPORT_INTERVAL.as_millis()).unwrap_or(u64::MAX);
+    let idle = usage.loaded - usage.busy;
+    recorder.count("accelerator.loaded_ms", &usage.service, u64::from(usage.loaded) * ms);
+    recorder.count("accelerator.busy_ms", &usage.service, u64::from(usage.busy) * ms);
+    recorder.count("accelerator.idle_ms", &usage.service, u64::from(idle) * ms);
 }
 
 fn report_use(control: &Arc<Control>, stop: &Arc<StopFlag>) -> JoinHandle<()> {
     let control = Arc::clone(control);
-    loops::every("report", REPORT_EVERY, stop, move || {
+    loops::spawn_periodic("report", REPORT_INTERVAL, stop, move || {
         control.reconciler.report_use();
-        for used in control.reconciler.accelerators() {
-            record_accelerators(control.recorder.as_ref(), &used);
+        for usage in control.reconciler.accelerators() {
+            record_accelerators(control.recorder.as_ref(), &usage);
         }
     })
 }
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon: everything wired together, its start and its planned stop.
+//! A daemon that serves services: its wiring, startup and planned stop.
 
 use std::{
     io,
@@ -49,26 +49,26 @@
 use crate::{
     control::{self, Control},
     loops::StopFlag,
-    operators::{self, Operators},
+    operators::{self, OperatorApi},
     replicas::EngineReplicas,
     telemetry,
 };
 
-/// How often the registration is tried until the table takes it.
-const REGISTER_EVERY: Duration = Duration::from_millis(500);
-/// How often a drain looks whether it is over.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Delay between attempts to register with the table.
+const REGISTRATION_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// How often a drain checks whether it is complete.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a daemon has stopped.
+/// How the drain of a daemon ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopped {
-    /// Every request in flight was answered.
-    Whole,
-    /// This many requests were cut.
-    Cut(u32),
+pub enum DrainOutcome {
+    /// Every request in flight got its response.
+    Complete,
+    /// This many requests were aborted.
+    Aborted(u32),
 }
 
-/// Tells a daemon to stop, from any thread.
+/// Requests the stop of a daemon, from any thread.
 #[derive(Clone)]
 pub struct Stopper {
     signals: Arc<AtomicU32>,
@@ -76,7 +76,7 @@
 }
 
 impl Stopper {
-    /// Takes in a signal: the first begins the drain, the second ends it at once.
+    /// Handles a signal: the first starts the drain, the second aborts it.
     pub fn signal(&self) {
         self.signals.fetch_add(1, Ordering::SeqCst);
         self.lifecycle.drain();
@@ -85,9 +85,9 @@
 
 /// A running daemon.
 pub struct Daemon {
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// The address of the operators' interface.
     pub operators: SocketAddr,
     settings: Settings,
     incarnation: Incarnation,
@@ -97,7 +97,7 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// What most parts of a daemon share.
+/// The components that most parts of a daemon share.
 struct Shared {
     clock: Arc<dyn Clock>,
     table: Arc<dyn Table>,
@@ -172,7 +172,7 @@
             Arc::clone(&self.engine),
             Arc::clone(&self.clock),
         );
-        let parts = gateway::GatewayDependencies {
+        let dependencies = gateway::GatewayDependencies {
             config: Arc::clone(&self.config),
             hosts: Arc::clone(&self.hosts),
             pools: Arc::clone(&self.pools),
@@ -192,11 +192,11 @@
             max_waiting: settings.limits.waiting_per_service as usize,
             deadline_max: settings.limits.deadline_max.duration(),
         };
-        Gateway::new(parts, options)
+        Gateway::new(dependencies, options)
     }
 
-    fn operators(&self, settings: &Settings) -> Operators {
-        Operators {
+    fn operators(&self, settings: &Settings) -> OperatorApi {
+        OperatorApi {
             daemon: settings.name.clone(),
             incarnation: self.incarnation.clone(),
             zone: settings.availability_zone.clone(),
@@ -236,7 +236,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if an address can't be taken.
+    /// Fails if an address can't be bound.
     pub fn start(settings: &Settings) -> io::Result<Self> {
         let shared = Shared::new(settings)?;
         let stop_loops = Arc::new(StopFlag::default());
@@ -275,71 +275,71 @@
         })
     }
 
-    /// Returns what tells the daemon to stop.
+    /// Returns a handle that stops the daemon.
     pub fn stopper(&self) -> Stopper {
         self.stopper.clone()
     }
 
-    /// Runs until told to stop, drains, and says how it went.
-    pub fn run_until_stopped(self) -> Stopped {
+    /// Runs until a stop is requested, drains, and returns how the drain ended.
+    pub fn run_until_stopped(self) -> DrainOutcome {
         while self.stopper.signals.load(Ordering::SeqCst) == 0 {
-            thread::sleep(DRAIN_LOOK);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         event::DRAIN_BEGUN.emit(&[("requests", &self.stopper.lifecycle.busy())]);
-        let stopped = self.drain();
+        let outcome = self.drain();
         self.stop_loops.set();
         for thread in self.threads {
-            // A loop that has panicked must not keep the others from ending.
+            // A panic in one thread must not prevent the others from being joined.
             let _ = thread.join();
         }
-        // Only now can no order of this run be on its way any more.
+        // No order of this incarnation can be in flight once all threads have ended.
         let _ = replicas::deregister_daemon(
             self.table.as_ref(),
             self.settings.name.as_str(),
             &self.incarnation,
         );
         event::STOPPED.emit(&[("daemon", &self.settings.name)]);
-        stopped
+        outcome
     }
 
-    /// Takes requests for a moment more, closes the listener and waits for what is in flight.
-    fn drain(&self) -> Stopped {
+    /// Accepts requests for the linger time, closes the listener and waits for requests in flight.
+    fn drain(&self) -> DrainOutcome {
         let lifecycle = &self.stopper.lifecycle;
-        let began = BootInstant::now();
+        let started_at = BootInstant::now();
         let linger = self.settings.drain.linger.duration();
-        while began.elapsed() < linger && !self.is_hurried() {
-            thread::sleep(DRAIN_LOOK);
+        while started_at.elapsed() < linger && !self.is_abort_requested() {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         lifecycle.close();
-        // The accept loop looks at the lifecycle after each connection.
+        // The accept loop checks the lifecycle only after a connection, so one is opened here.
         drop(TcpStream::connect(self.callers));
         let timeout = self.settings.drain.timeout.duration();
         loop {
             let busy = lifecycle.busy();
             if busy == 0 {
-                return Stopped::Whole;
+                return DrainOutcome::Complete;
             }
-            if began.elapsed() >= timeout || self.is_hurried() {
+            if started_at.elapsed() >= timeout || self.is_abort_requested() {
                 event::DRAIN_CUT.emit(&[("requests", &busy)]);
-                return Stopped::Cut(busy);
+                return DrainOutcome::Aborted(busy);
             }
-            thread::sleep(DRAIN_LOOK);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
-    fn is_hurried(&self) -> bool {
+    fn is_abort_requested(&self) -> bool {
         self.stopper.signals.load(Ordering::SeqCst) > 1
     }
 }
 
 fn bind_node(settings: &Settings, clock: &Arc<dyn Clock>) -> io::Result<Node> {
-    let me = LocalMember {
+    let local_member = LocalMember {
         daemon: settings.name.clone(),
         address: settings.listen.peers,
         availability_zone: settings.availability_zone.clone(),
         incarnation: clock.wall_ms(),
     };
-    Node::bind(me, MembersOptions::default(), Arc::clone(clock))
+    Node::bind(local_member, MembersOptions::default(), Arc::clone(clock))
 }
 
 fn serve_callers(
@@ -359,8 +359,8 @@
     };
     let lifecycle = Arc::clone(lifecycle);
     spawn("callers", move || {
-        // The listener fails only if the system takes it away; the platform then sees a daemon
-        // that does not answer and replaces the host.
+        // The listener fails only if the system closes it. The platform then finds that the daemon
+        // does not respond, and replaces the host.
         let _ = server::serve(&listener, &options, &gateway, &lifecycle);
     })
 }
@@ -370,9 +370,9 @@
     spawn("operators", move || server(&stop))
 }
 
-/// Registers this run, and only then starts the control loop.
+/// Registers this incarnation, and only then starts the control loop.
 ///
-/// An unregistered run must not order loads: its row is how others learn that it is gone.
+/// An unregistered incarnation must not order loads, as other daemons detect its end by its row.
 fn register_then_control(
     settings: &Settings,
     shared: &Shared,
@@ -392,12 +392,12 @@
     let stop = Arc::clone(stop);
     spawn("control", move || {
         while replicas::register_daemon(table.as_ref(), name.as_str(), &row).is_err() {
-            if stop.wait(REGISTER_EVERY) {
+            if stop.wait(REGISTRATION_RETRY_INTERVAL) {
                 return;
             }
         }
         for thread in control::start(&control, &refresh, &stop) {
-            // A loop that has panicked must not keep the others from ending.
+            // A panic in one thread must not prevent the others from being joined.
             let _ = thread.join();
         }
     })
@@ -407,5 +407,5 @@
     thread::Builder::new()
         .name(name.to_owned())
         .spawn(f)
-        .expect("the system has a thread left at the start")
+        .expect("a thread can be spawned at startup")
 }
--- a/crates/tansyknotd/src/lib.rs
+++ b/crates/tansyknotd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The tansyknot daemon: wiring, background loops and the operators' interface.
+//! The tansyknot daemon: wiring, background loops, logs, metrics and the operators' interface.
 
 #[cfg(feature = "services")]
 pub mod control;
--- a/crates/tansyknotd/src/loops.rs
+++ b/crates/tansyknotd/src/loops.rs
@@ -1,4 +1,4 @@
-//! Background loops: a thread each, at a steady pace, until told to stop.
+//! Background loops: each runs periodically on a thread of its own until it is stopped.
 
 use std::{
     sync::{Arc, Condvar, Mutex},
@@ -6,7 +6,7 @@
     time::Duration,
 };
 
-/// Tells loops to stop.
+/// A flag that stops the background loops.
 #[derive(Debug, Default)]
 pub struct StopFlag {
     stopped: Mutex<bool>,
@@ -20,30 +20,30 @@
         self.changed.notify_all();
     }
 
-    /// Tells whether loops are to stop.
+    /// Returns whether the loops are to stop.
     pub fn is_set(&self) -> bool {
         *self.stopped.lock().expect("no holder of the lock panics")
     }
 
-    /// Waits for `span` or until told to stop; tells whether to stop.
-    pub fn wait(&self, span: Duration) -> bool {
+    /// Waits until the flag is set or `timeout` has passed; returns whether the flag is set.
+    pub fn wait(&self, timeout: Duration) -> bool {
         let stopped = self.stopped.lock().expect("no holder of the lock panics");
         let (stopped, _) = self
             .changed
-            .wait_timeout_while(stopped, span, |stopped| !*stopped)
+            .wait_timeout_while(stopped, timeout, |stopped| !*stopped)
             .expect("no holder of the lock panics");
         *stopped
     }
 }
 
-/// Runs `f` at once and then every `span` until `stop` is set.
+/// Spawns a thread that runs `f` at once and then after each `interval`, until `stop` is set.
 ///
 /// # Panics
 ///
-/// Panics if the system has no thread left, which the start of a daemon can't outlive.
-pub fn every(
+/// Panics if the thread can't be spawned; a daemon can't start without it.
+pub fn spawn_periodic(
     name: &str,
-    span: Duration,
+    interval: Duration,
     stop: &Arc<StopFlag>,
     mut f: impl FnMut() + Send + 'static,
 ) -> JoinHandle<()> {
@@ -53,10 +53,10 @@
         .spawn(move || {
             while !stop.is_set() {
                 f();
-                if stop.wait(span) {
+                if stop.wait(interval) {
                     return;
                 }
             }
         })
-        .expect("the system has a thread left at the start")
+        .expect("a loop thread can be spawned at startup")
 }
--- a/crates/tansyknotd/src/main.rs
+++ b/crates/tansyknotd/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tansyknotd` binary: settings in, a daemon that runs until it is told to stop.
+//! The `tansyknotd` binary: reads the settings and runs a daemon until a signal stops it.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -14,13 +14,13 @@
 use tansyknot_core::event;
 #[cfg(feature = "services")]
 use tansyknotd::{
-    daemon::{Daemon, Stopped},
+    daemon::{Daemon, DrainOutcome},
     telemetry,
 };
 use tansyknotd::{fleet::FleetDaemon, logs};
 
-/// The exit code of a drain that was ended with requests in flight.
-const EXIT_CUT: u8 = 3;
+/// The exit code after a drain that aborted requests in flight.
+const EXIT_ABORTED: u8 = 3;
 
 /// The tansyknot daemon. Every entry host runs one; all have the same role.
 #[derive(Parser)]
@@ -28,13 +28,14 @@
     version,
     after_help = "Examples:\n  tansyknotd --settings /etc/tansyknot/daemon.yaml\n  \
     tansyknotd --settings daemon.yaml --check\n\nSignals: SIGTERM or SIGINT drains, a second one \
-    ends at once.\nExit codes: 0 after a whole drain, 3 if requests were cut, 1 on bad settings."
+    aborts the drain.\nExit codes: 0 after a complete drain, 3 if requests were aborted, 1 on \
+    invalid settings."
 )]
 struct Args {
     /// The settings file.
     #[arg(long, value_name = "FILE", env = "TANSYKNOT_CONFIG")]
     settings: PathBuf,
-    /// What the daemon serves.
+    /// The kind of daemon to run.
     #[arg(long, value_enum, default_value_t)]
     serves: Serves,
     /// Check the settings and exit.
@@ -42,14 +43,14 @@
     check: bool,
 }
 
-/// What a daemon serves.
+/// The kinds of daemons, by what they serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 enum Serves {
-    /// Services that operators create and steer by rules, from engines of their own.
+    /// Services that operators define and control by rules, on dedicated engines.
     #[cfg(feature = "services")]
     #[default]
     Services,
-    /// Routes of the platform's configuration, from targets that hold several models each.
+    /// Routes of the platform's configuration, on targets that each hold several models.
     #[cfg_attr(not(feature = "services"), default)]
     Fleet,
 }
@@ -81,16 +82,16 @@
         if signal != SIGHUP {
             break;
         }
-        read_again(file, &settings);
+        check_changed_settings(file, &settings);
     }
-    let cut = daemon.stop();
+    let aborted = daemon.stop();
     log::logger().flush();
-    Ok(if cut == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_CUT) })
+    Ok(if aborted == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_ABORTED) })
 }
 
-/// Reads the settings again after a hang-up. No setting changes while a daemon runs but by a new
-/// start, so this only says whether one is due.
-fn read_again(file: &str, current: &FleetSettings) {
+/// Reads the settings file after a `SIGHUP`, and logs whether it differs from the current settings.
+/// Settings only change with a restart of the daemon, so the log tells operators if one is needed.
+fn check_changed_settings(file: &str, current: &FleetSettings) {
     let read = std::fs::read_to_string(file)
         .into_diagnostic()
         .and_then(|text| tansyknot_config::fleet::read(&text, file));
@@ -110,17 +111,17 @@
     telemetry::start(&settings.telemetry).into_diagnostic()?;
     let mut signals = Signals::new([SIGTERM, SIGINT]).into_diagnostic()?;
     let daemon = Daemon::start(&settings).into_diagnostic().wrap_err("the daemon can't start")?;
-    let stop = daemon.stopper();
+    let stopper = daemon.stopper();
     std::thread::spawn(move || {
         for _ in signals.forever() {
-            stop.signal();
+            stopper.signal();
         }
     });
-    let stopped = daemon.run_until_stopped();
+    let outcome = daemon.run_until_stopped();
     fastrace::flush();
     log::logger().flush();
-    Ok(match stopped {
-        Stopped::Whole => ExitCode::SUCCESS,
-        Stopped::Cut(_) => ExitCode::from(EXIT_CUT),
+    Ok(match outcome {
+        DrainOutcome::Complete => ExitCode::SUCCESS,
+        DrainOutcome::Aborted(_) => ExitCode::from(EXIT_ABORTED),
     })
 }
--- a/crates/tansyknotd/src/operators.rs
+++ b/crates/tansyknotd/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of a daemon: status and explanations, by HTTP and JSON.
+//! The operators' HTTP interface of a daemon: its status and the explanations of requests, as JSON.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,30 +17,30 @@
 
 use crate::loops::StopFlag;
 
-/// Threads that answer operators.
-const THREADS: usize = 2;
-/// How often the server looks whether to stop.
-const POLL: Duration = Duration::from_millis(250);
+/// Threads that serve operators' requests.
+const SERVER_THREADS: usize = 2;
+/// How often the server checks the stop flag.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What operators may look at.
-pub struct Operators {
+/// The state that the operators' interface shows.
+pub struct OperatorApi {
     /// The name of the daemon.
     pub daemon: DaemonName,
-    /// This run of it.
+    /// The incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone of the daemon.
     pub zone: ZoneName,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Arc<ConfigView>,
     /// The list of hosts.
     pub hosts: Arc<HostView>,
-    /// The pools.
+    /// The pools of targets, with their request queues.
     pub pools: Arc<Pools>,
     /// The replica rows.
     pub directory: Arc<ReplicaCache>,
-    /// How far the stop is.
+    /// The state of the drain, and the counts of connections and requests.
     pub lifecycle: Arc<Lifecycle>,
-    /// The decisions for the latest requests.
+    /// The decisions on the latest requests.
     pub explainer: Arc<Explainer>,
 }
 
@@ -65,8 +65,8 @@
     slots: Vec<Slot>,
 }
 
-impl Operators {
-    fn answer(&self, req: &Request) -> Response {
+impl OperatorApi {
+    fn handle(&self, req: &Request) -> Response {
         let url = req.url();
         match url.as_str() {
             "/status" => Response::json(&self.status()),
@@ -103,30 +103,30 @@
     }
 
     fn service_status(&self, service: ServiceName) -> ServiceStatus {
-        let waiting = self.pools.demand(&service).waiting;
+        let demand = self.pools.demand(&service).waiting;
         let slots = self.directory.row(&service).map(|row| row.slots).unwrap_or_default();
-        ServiceStatus { service, waiting: waiting.waiting, in_flight: waiting.in_flight, slots }
+        ServiceStatus { service, waiting: demand.waiting, in_flight: demand.in_flight, slots }
     }
 }
 
-/// The operators' server, bound and ready to run.
+/// Runs the bound operators' server until the flag is set.
 pub type BoundServer = Box<dyn FnOnce(&StopFlag) + Send>;
 
 /// Binds the operators' server to `address`.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be taken.
+/// Fails if the address can't be bound.
 pub fn bind(
     address: SocketAddr,
-    operators: Operators,
+    operators: OperatorApi,
 ) -> Result<(SocketAddr, BoundServer), Box<dyn std::error::Error + Send + Sync>> {
-    let server = rouille::Server::new(address, move |req| operators.answer(req))?;
-    let server = server.pool_size(THREADS);
+    let server = rouille::Server::new(address, move |req| operators.handle(req))?;
+    let server = server.pool_size(SERVER_THREADS);
     let address = server.server_addr();
     let run = move |stop: &StopFlag| {
         while !stop.is_set() {
-            server.poll_timeout(POLL);
+            server.poll_timeout(STOP_POLL_INTERVAL);
         }
     };
     Ok((address, Box::new(run)))
--- a/crates/tansyknotd/src/replicas.rs
+++ b/crates/tansyknotd/src/replicas.rs
@@ -1,4 +1,4 @@
-//! What the pipeline asks of the control loop and of engines.
+//! Passes orders of the request pipeline on to the control loop and the engines.
 
 use std::{
     collections::HashMap,
@@ -17,10 +17,11 @@
 };
 use tansyknot_edge::gateway::EngineOrders;
 
-/// An adapter that was loaded is taken to be there for this long.
-const ADAPTER_SPAN: Duration = Duration::from_secs(30);
-/// Adapters remembered; beyond this all are asked for again.
-const ADAPTERS: usize = 4096;
+/// How long a loaded adapter is assumed to stay loaded.
+const ADAPTER_TTL: Duration = Duration::from_secs(30);
+/// Maximum number of cached adapters; when it is exceeded the cache is cleared, and adapters are
+/// loaded again on their next use.
+const MAX_CACHED_ADAPTERS: usize = 4096;
 
 /// Connects the pipeline to the control loop and the engines.
 pub struct EngineReplicas {
@@ -31,7 +32,7 @@
 }
 
 impl EngineReplicas {
-    /// Makes the connection.
+    /// Creates the connection with an empty cache of adapters.
     pub fn new(
         reconciler: Arc<Reconciler>,
         engine: Arc<dyn Engine>,
@@ -42,12 +43,12 @@
 
     fn is_loaded(&self, key: &(TargetName, AdapterName), now: Time) -> bool {
         let adapters = self.adapters.lock().expect("no holder of the lock panics");
-        adapters.get(key).is_some_and(|at| now.since(*at) < ADAPTER_SPAN)
+        adapters.get(key).is_some_and(|at| now.since(*at) < ADAPTER_TTL)
     }
 
-    fn remember(&self, key: (TargetName, AdapterName), now: Time) {
+    fn record_loaded(&self, key: (TargetName, AdapterName), now: Time) {
         let mut adapters = self.adapters.lock().expect("no holder of the lock panics");
-        if adapters.len() >= ADAPTERS {
+        if adapters.len() >= MAX_CACHED_ADAPTERS {
             adapters.clear();
         }
         adapters.insert(key, now);
@@ -62,7 +63,7 @@
     }
 
     fn cancel(&self, target: &Target, attempt: &AttemptId) {
-        // An engine that does not hear this ends the attempt when its answer is not read.
+        // An engine that does not receive this ends the attempt when its response is not read.
         let _ = self.engine.cancel(target, attempt);
     }
 
@@ -78,7 +79,7 @@
             return Ok(());
         }
         self.engine.load_adapter(target, service, adapter)?;
-        self.remember(key, now);
+        self.record_loaded(key, now);
         Ok(())
     }
 }
--- a/crates/tansyknotd/src/telemetry.rs
+++ b/crates/tansyknotd/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Where logs, spans and metrics go.
+//! The outputs of logs, tracing spans and metrics.
 
 use std::{
     borrow::Cow,
@@ -21,14 +21,14 @@
 
 /// The prefix of every metric.
 const PREFIX: &str = "tansyknot";
-/// Metrics that wait for the socket; further ones are dropped.
-const QUEUED_METRICS: usize = 64 << 10;
+/// Maximum number of metrics queued for the socket; further ones are dropped.
+const MAX_QUEUED_METRICS: usize = 64 << 10;
 
-/// Starts logs and spans for this process.
+/// Starts logging and tracing for this process.
 ///
 /// # Errors
 ///
-/// Fails if a logger has been set before.
+/// Fails if a logger is already set.
 pub fn start(telemetry: &Telemetry) -> Result<(), logforth::Error> {
     let stderr = match telemetry.log_format {
         LogFormat::Json => append::Stderr::default().with_layout(layout::JsonLayout::default()),
@@ -39,13 +39,13 @@
         .try_apply()?;
     log::set_max_level(logs::level(telemetry.log_level));
     if telemetry.spans {
-        fastrace::set_reporter(JsonLines, Config::default());
+        fastrace::set_reporter(JsonSpanReporter, Config::default());
     }
     Ok(())
 }
 
 /// Writes each span as a JSON line on standard output.
-struct JsonLines;
+struct JsonSpanReporter;
 
 #[derive(Serialize)]
 struct SpanLine<'a> {
@@ -58,7 +58,7 @@
     properties: &'a [(Cow<'static, str>, Cow<'static, str>)],
 }
 
-impl Reporter for JsonLines {
+impl Reporter for JsonSpanReporter {
     fn report(&mut self, spans: Vec<SpanRecord>) {
         let mut out = std::io::stdout().lock();
         for span in spans {
@@ -71,31 +71,31 @@
                 duration_ns: span.duration_ns,
                 properties: &span.properties,
             };
-            // Spans are a help and not a promise: a reader that has gone must not stop requests.
+            // Spans are best effort: a closed standard output must not fail requests.
             let _ = serde_json::to_writer(&mut out, &line);
             let _ = out.write_all(b"\n");
         }
     }
 }
 
-/// Sends figures to a StatsD collector.
+/// Sends metrics to a StatsD collector.
 pub struct StatsdRecorder {
     client: StatsdClient,
 }
 
 impl StatsdRecorder {
-    /// Makes a recorder that sends to `collector` by UDP.
+    /// Creates a recorder that sends to `collector` by UDP.
     ///
     /// # Errors
     ///
-    /// Fails if no socket can be had.
+    /// Fails if the socket can't be opened.
     pub fn new(collector: SocketAddr) -> cadence::MetricResult<Self> {
-        let any: SocketAddr =
+        let bind_address: SocketAddr =
             if collector.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
-        let socket = UdpSocket::bind(any)?;
+        let socket = UdpSocket::bind(bind_address)?;
         socket.set_nonblocking(true)?;
         let sink = BufferedUdpMetricSink::from(collector, socket)?;
-        let queue = QueuingMetricSink::with_capacity(sink, QUEUED_METRICS);
+        let queue = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS);
         Ok(Self { client: StatsdClient::from_sink(PREFIX, queue) })
     }
 }
@@ -106,8 +106,8 @@
         self.client.count_with_tags(name, n).with_tag("service", service.as_str()).send();
     }
 
-    fn time(&self, name: &'static str, service: &ServiceName, span: Duration) {
-        self.client.time_with_tags(name, span).with_tag("service", service.as_str()).send();
+    fn time(&self, name: &'static str, service: &ServiceName, duration: Duration) {
+        self.client.time_with_tags(name, duration).with_tag("service", service.as_str()).send();
     }
 
     fn gauge(&self, name: &'static str, service: &ServiceName, value: f64) {
@@ -115,11 +115,11 @@
     }
 }
 
-/// Makes the recorder that the settings ask for.
+/// Creates the recorder that the settings select.
 ///
 /// # Errors
 ///
-/// Fails if no socket can be had.
+/// Fails if the socket can't be opened.
 pub fn recorder(telemetry: &Telemetry) -> cadence::MetricResult<Box<dyn Recorder>> {
     match telemetry.statsd {
         Some(collector) => Ok(Box::new(StatsdRecorder::new(collector)?)),
