--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A daemon that serves a fleet of shared targets: its threads, its start and its planned stop.
+//! A daemon that serves a fleet of shared targets: its threads, startup and planned stop.
 
 mod calls;
 mod pages;
@@ -39,13 +39,14 @@
 use crate::page::PageRecorder;
 use pages::{MetricsPage, ReadyPage};
 
-/// How often the stop looks whether requests are under way.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// A planner of 295 daemons and 264 targets sends up to 15 Mbit/s while many targets change, and news
-/// take a fifth of its link at most (event 1625, docs/ROUNDS.md).
-const PLANNER_MBPS: f64 = 60.0;
-/// Connections to the pages of readiness and metrics.
-const PAGE_CONNECTIONS: u32 = 32;
+/// How often a stop checks whether requests are in flight.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A planner sends up to 15 Mbit/s to 295 daemons while many of 264 targets change, and its updates
+/// use at most a fifth of its link (event 1625). A daemon with a slower link than this takes the
+/// lease only reluctantly.
+const MIN_PLANNER_LINK_MBPS: f64 = 60.0;
+/// Maximum number of connections to the readiness and metrics pages.
+const MAX_PAGE_CONNECTIONS: u32 = 32;
 
 /// A running daemon.
 pub struct FleetDaemon {
@@ -67,8 +68,8 @@
             slack: settings.bounds.retry_slack,
             window: settings.bounds.retry_window.duration(),
         };
-        let spans = spans(settings);
-        let options = StateOptions { budget, access: access(settings), spans };
+        let spans = freshness_limits(settings);
+        let options = StateOptions { budget, access: access_options(settings), spans };
         let state = Arc::new(State::new(settings.availability_zone.clone(), options, clock));
         let recorder = Arc::new(PageRecorder::default());
         let store = Arc::new(RowStore::new(settings.store, spans.config_wait));
@@ -80,7 +81,7 @@
         let peers = socket.local_addr()?;
         let incarnation: Arc<str> = name::random_id().into();
         let daemon: Arc<str> = settings.name.as_str().into();
-        let me = LeaseHolder {
+        let holder = LeaseHolder {
             daemon: Arc::clone(&daemon),
             incarnation: Arc::clone(&incarnation),
             address: peers,
@@ -95,7 +96,7 @@
             Arc::clone(&state),
             Arc::clone(&store),
             Arc::clone(&lease),
-            me,
+            holder,
             options,
             reluctance(settings),
         ));
@@ -110,14 +111,15 @@
             ledger: Mutex::default(),
         });
         let socket = Arc::new(socket);
-        let me = DaemonIdentity {
+        let identity = DaemonIdentity {
             daemon: settings.name.as_str().into(),
             incarnation,
             address: peers,
             zone: settings.availability_zone.clone(),
             link_mbps: settings.link_mbps.map(|mbps| mbps as u32),
         };
-        let peer_node = PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, me);
+        let peer_node =
+            PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, identity);
         let peer_node = Arc::new(peer_node);
         let lifecycle = Arc::new(Lifecycle::default());
         let targets_known = Arc::new(AtomicBool::new(false));
@@ -155,11 +157,11 @@
         let poison = Arc::new(PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store)));
         let follower = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
         calls::follow_config(follower, &state, &peer_node, Arc::clone(&poison));
-        calls::keep_poison(poison, &state, &peer_node);
+        calls::run_poison_keeper(poison, &state, &peer_node);
         let follower = TargetFollower::new(Arc::clone(&state), store, targets_known);
         calls::follow_targets(follower, &state, &peer_node);
-        keep(&keeper);
-        converse(&peer_node, socket);
+        run_lease_keeper(&keeper);
+        start_peer_threads(&peer_node, socket);
         event::STARTED.emit(&[
             ("daemon", &settings.name),
             ("zone", &settings.availability_zone),
@@ -171,30 +173,30 @@
         Ok(Self { lifecycle, keeper, grace })
     }
 
-    /// Finishes what is in flight and returns how many requests were cut.
+    /// Finishes the requests in flight within the grace period and returns how many were aborted.
     pub fn stop(&self) -> u32 {
-        let began = BootInstant::now();
+        let started_at = BootInstant::now();
         self.lifecycle.drain();
         event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.busy())]);
         self.keeper.release();
         let plan = ShutdownPlan::for_grace_period(self.grace);
-        while began.elapsed() < plan.abort_after {
-            let refuses = began.elapsed() >= plan.refuse_after;
+        while started_at.elapsed() < plan.abort_after {
+            let refuses = started_at.elapsed() >= plan.refuse_after;
             if refuses {
                 self.lifecycle.end();
             }
             if refuses && self.lifecycle.busy() == 0 {
                 break;
             }
-            thread::sleep(STOP_LOOK);
+            thread::sleep(STOP_POLL_INTERVAL);
         }
-        let cut = self.lifecycle.busy();
-        event::STOPPED.emit(&[("cut", &cut)]);
-        cut
+        let aborted = self.lifecycle.busy();
+        event::STOPPED.emit(&[("cut", &aborted)]);
+        aborted
     }
 }
 
-fn spans(settings: &FleetSettings) -> FreshnessLimits {
+fn freshness_limits(settings: &FleetSettings) -> FreshnessLimits {
     FreshnessLimits::from_bounds(&Bounds {
         leave_within: settings.bounds.leave_within.duration(),
         config_within: settings.bounds.config_within.duration(),
@@ -203,7 +205,7 @@
     })
 }
 
-fn access(settings: &FleetSettings) -> AccessOptions {
+fn access_options(settings: &FleetSettings) -> AccessOptions {
     let bounds = &settings.bounds;
     let revoke_within = bounds.revoke_within.filter(|_| bounds.revoke_fail_closed);
     let revoke_within = revoke_within.map(PositiveDuration::duration);
@@ -217,7 +219,7 @@
 
 fn reluctance(settings: &FleetSettings) -> Reluctance {
     match settings.link_mbps {
-        Some(mbps) if mbps < PLANNER_MBPS => Reluctance::Reluctant,
+        Some(mbps) if mbps < MIN_PLANNER_LINK_MBPS => Reluctance::Reluctant,
         _ => Reluctance::None,
     }
 }
@@ -236,7 +238,7 @@
 }
 
 fn page_options(settings: &FleetSettings) -> ServerOptions {
-    ServerOptions { max_connections: PAGE_CONNECTIONS, ..caller_options(settings) }
+    ServerOptions { max_connections: MAX_PAGE_CONNECTIONS, ..caller_options(settings) }
 }
 
 fn serve(
@@ -256,7 +258,7 @@
     Ok(address)
 }
 
-fn keep(keeper: &Arc<LeaseKeeper>) {
+fn run_lease_keeper(keeper: &Arc<LeaseKeeper>) {
     let keeper = Arc::clone(keeper);
     spawn("lease", move || {
         loop {
@@ -265,25 +267,25 @@
     });
 }
 
-fn converse(peer_node: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
-    let rx = Arc::clone(peer_node);
+fn start_peer_threads(peer_node: &Arc<PeerNode>, socket: Arc<UdpSocket>) {
+    let receiver = Arc::clone(peer_node);
     spawn("peers", move || {
-        if let Err(e) = rx.receive(&socket) {
-            log::error!("the peers' socket failed: {e}");
+        if let Err(e) = receiver.receive(&socket) {
+            log::error!("the peer socket failed: {e}");
         }
     });
-    let tx = Arc::clone(peer_node);
-    spawn("conduct", move || tx.run());
-    let tx = Arc::clone(peer_node);
-    spawn("crashes", move || tx.run_crash_reports());
-    let tx = Arc::clone(peer_node);
-    spawn("permits", move || tx.run_permit_grants());
+    let node = Arc::clone(peer_node);
+    spawn("conduct", move || node.run());
+    let node = Arc::clone(peer_node);
+    spawn("crashes", move || node.run_crash_reports());
+    let node = Arc::clone(peer_node);
+    spawn("permits", move || node.run_permit_grants());
 }
 
-/// Starts a thread that lives as long as the process.
+/// Starts a thread that runs as long as the process.
 fn spawn(name: &str, f: impl FnOnce() + Send + 'static) {
     thread::Builder::new()
         .name(name.to_owned())
         .spawn(f)
-        .expect("the system has a thread left at the start");
+        .expect("a thread can be spawned at startup");
 }
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! The threads that follow the store, and when each of them makes its next call.
+//! The threads that poll the store, and the timing of their calls.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,15 +12,15 @@
 
 use super::spawn;
 
-/// How often the list of targets is followed while a load should be done.
-const FOLLOW_LOADS: Duration = Duration::from_millis(90);
+/// How often the planner polls the list of targets while a load is due to finish.
+const PENDING_LOAD_POLL_INTERVAL: Duration = Duration::from_millis(90);
 
-/// How often it is looked whether the row of poison requests is behind, beside when something has
-/// changed or this daemon has become the planner: each look wakes a thread.
-const POISON_LOOK: Duration = Duration::from_secs(30);
+/// How often the row of poison requests is checked without a notification of a change. The interval
+/// is long because each check wakes a thread.
+const POISON_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Starts the thread that keeps the row of poison requests.
-pub(super) fn keep_poison(
+/// Starts the thread that keeps the row of poison requests up to date.
+pub(super) fn run_poison_keeper(
     keeper: Arc<PoisonKeeper>,
     state: &Arc<State>,
     peer_node: &Arc<PeerNode>,
@@ -33,13 +33,13 @@
                 state.clock.sleep(keeper::RETRY_INTERVAL);
                 continue;
             }
-            state.poison_changed.wait(seen, POISON_LOOK);
+            state.poison_changed.wait(seen, POISON_CHECK_INTERVAL);
         }
     });
 }
 
-/// Starts the thread that follows the operators' configuration, once the row of poison requests has
-/// been read: without a configuration no request is served.
+/// Starts the thread that follows the operators' configuration. It first reads the row of poison
+/// requests: no request is served without a configuration, so none is served before that read.
 pub(super) fn follow_config(
     mut follower: ConfigFollower,
     state: &Arc<State>,
@@ -61,39 +61,40 @@
             if !is_planner && state.keys_fresh_for().is_zero() {
                 follower.skip_next_wait();
             }
-            let began = state.now();
+            let started_at = state.now();
             let pause = follower.step();
-            pause_calls(&state, began, pause);
+            pause_calls(&state, started_at, pause);
             await_config_call(&state, &peer_node);
         }
     });
 }
 
-/// Waits for the pause after a call that began at `began`, or until the store has answered
-/// another call since then.
-fn pause_calls(state: &State, began: Time, pause: Duration) {
+/// Waits for the pause after a call that started at `started_at`, or until a later call to the store
+/// has returned.
+fn pause_calls(state: &State, started_at: Time, pause: Duration) {
     let until = state.now() + pause;
     loop {
         let seen = state.store_call_due.count();
-        let left = until.since(state.now());
-        let has_returned = state.store_contacts().returned_at.is_some_and(|at| at > began);
-        if left.is_zero() || has_returned {
+        let time_left = until.since(state.now());
+        let has_later_call_returned =
+            state.store_contacts().returned_at.is_some_and(|at| at > started_at);
+        if time_left.is_zero() || has_later_call_returned {
             return;
         }
-        state.store_call_due.wait(seen, left);
+        state.store_call_due.wait(seen, time_left);
     }
 }
 
-/// Waits as long as the planner's news of the configuration are fresh.
+/// Waits until the configuration received from the planner is stale.
 fn await_config_call(state: &State, peer_node: &PeerNode) {
     loop {
         let seen = state.store_call_due.count();
-        let mine = state.catalog().map_or(0, |c| c.version);
-        let left = state.config_fresh_for(mine);
-        if peer_node.is_planner() || mine == 0 || left.is_zero() {
+        let own_version = state.catalog().map_or(0, |c| c.version);
+        let time_left = state.config_fresh_for(own_version);
+        if peer_node.is_planner() || own_version == 0 || time_left.is_zero() {
             return;
         }
-        state.store_call_due.wait(seen, left);
+        state.store_call_due.wait(seen, time_left);
     }
 }
 
@@ -112,45 +113,49 @@
                 follower.request_full_read();
             }
             was_planner = is_planner;
-            let began = state.now();
+            let started_at = state.now();
             if !follower.step() {
-                pause_calls(&state, began, follower.pause());
+                pause_calls(&state, started_at, follower.pause());
                 await_list_call(&state, &peer_node, Duration::ZERO);
             } else if peer_node.is_planner() {
                 pause_planner(&state, &peer_node);
             } else {
-                // Without fresh news the list is read at the pace of a planner.
+                // Without fresh updates the list is read as often as a planner reads it.
                 await_list_call(&state, &peer_node, state.list_poll_interval());
             }
         }
     });
 }
 
-/// Waits until the list is to be followed again, sooner if a load is due.
+/// Waits until the planner's next poll of the list; the wait is shorter while a load is due.
 fn pause_planner(state: &State, peer_node: &PeerNode) {
-    let began = BootInstant::now();
+    let started_at = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
-        let pace = state.spans.list_poll_interval;
-        let span = if peer_node.awaits_load() { pace.min(FOLLOW_LOADS) } else { pace };
-        let left = span.saturating_sub(began.elapsed());
-        if left.is_zero() {
+        let poll_interval = state.spans.list_poll_interval;
+        let interval = if peer_node.awaits_load() {
+            poll_interval.min(PENDING_LOAD_POLL_INTERVAL)
+        } else {
+            poll_interval
+        };
+        let time_left = interval.saturating_sub(started_at.elapsed());
+        if time_left.is_zero() {
             return;
         }
-        seen = state.demand_changed.wait(seen, left);
+        seen = state.demand_changed.wait(seen, time_left);
     }
 }
 
-/// Waits at least for `least`, and as long as the planner's news of the list are fresh.
-fn await_list_call(state: &State, peer_node: &PeerNode, least: Duration) {
-    let until = state.now() + least;
+/// Waits at least for `min_wait`, and until the list received from the planner is stale.
+fn await_list_call(state: &State, peer_node: &PeerNode, min_wait: Duration) {
+    let until = state.now() + min_wait;
     loop {
         let seen = state.store_call_due.count();
         let now = state.now();
-        let left = state.list_fresh_for(now).max(until.since(now));
-        if peer_node.is_planner() || left.is_zero() {
+        let time_left = state.list_fresh_for(now).max(until.since(now));
+        if peer_node.is_planner() || time_left.is_zero() {
             return;
         }
-        state.store_call_due.wait(seen, left);
+        state.store_call_due.wait(seen, time_left);
     }
 }
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -1,4 +1,4 @@
-//! The pages of a daemon: whether it takes callers, and its figures.
+//! The readiness page and the metrics page of a daemon.
 
 use std::{
     io,
@@ -18,10 +18,10 @@
 
 use crate::page::PageRecorder;
 
-/// Teams whose accounts are shown at most.
-const TEAMS_SHOWN: usize = 100;
+/// Maximum number of teams whose quota accounts are shown.
+const MAX_TEAMS_SHOWN: usize = 100;
 
-/// Answers whether the daemon takes callers.
+/// Responds with 200 if the daemon is ready for callers, else with 503.
 pub(super) struct ReadyPage {
     pub(super) state: Arc<State>,
     pub(super) targets_known: Arc<AtomicBool>,
@@ -33,7 +33,7 @@
     fn is_ready(&self) -> bool {
         let Some(catalog) = self.state.catalog() else { return false };
         let is_ready = !self.lifecycle.is_draining() && self.targets_known.load(Ordering::SeqCst);
-        // Who can't tell which keys hold would refuse nearly all callers.
+        // A daemon without fresh keys would reject nearly all callers.
         let is_ready = is_ready && self.state.keys_are_fresh();
         if is_ready && !self.was_ready.swap(true, Ordering::SeqCst) {
             let targets = self.state.fleet().targets().count();
@@ -51,11 +51,11 @@
         after: ConnectionAction,
     ) -> io::Result<ConnectionAction> {
         let status = if self.is_ready() { 200 } else { 503 };
-        text(stream, status, String::new(), after)
+        write_text(stream, status, String::new(), after)
     }
 }
 
-/// Writes the figures.
+/// Writes the metrics.
 pub(super) struct MetricsPage {
     pub(super) recorder: Arc<PageRecorder>,
     pub(super) state: Arc<State>,
@@ -64,17 +64,17 @@
 }
 
 impl MetricsPage {
-    /// Takes what a daemon believes now into the figures.
-    fn look(&self) {
+    /// Updates the gauges from the current state of the daemon.
+    fn update_gauges(&self) {
         let daemon = ServiceName::from("daemon");
         let now = self.state.now();
         let age = |at: Option<Time>| at.map_or(-1.0, |at| now.since(at).as_secs_f64());
         let contacts = *self.state.store_contacts();
-        let told = self.state.planner_view().config_version();
-        let (daemons, targets, kept, list_version) = {
+        let advertised_version = self.state.planner_view().config_version();
+        let (daemons, targets, retained, list_version) = {
             let fleet = self.state.fleet();
-            let kept = fleet.retained().count();
-            (fleet.daemon_count(), fleet.targets().count(), kept, fleet.list_version())
+            let retained = fleet.retained().count();
+            (fleet.daemon_count(), fleet.targets().count(), retained, fleet.list_version())
         };
         let (catalog, view) = self.state.active_catalog_and_keys();
         let keys_as_of = catalog.filter(|c| c.teams.is_some()).and_then(|c| view.as_of(c.version));
@@ -89,10 +89,10 @@
             (metric::IS_PLANNER, f64::from(u8::from(self.lease.is_valid(now)))),
             (metric::FENCE, self.lease.fence() as f64),
             (metric::CONFIG_VERSION, self.state.catalog().map_or(0, |c| c.version) as f64),
-            (metric::CONFIG_TOLD, told as f64),
+            (metric::CONFIG_TOLD, advertised_version as f64),
             (metric::DAEMONS, daemons as f64),
             (metric::TARGETS, targets as f64),
-            (metric::TARGETS_KEPT, kept as f64),
+            (metric::TARGETS_KEPT, retained as f64),
             (metric::LIST_VERSION, list_version as f64),
             (metric::LIST_CALL_AGE, age(contacts.list)),
             (metric::CONFIG_CALL_AGE, age(contacts.config)),
@@ -100,8 +100,12 @@
         for (gauge, value) in gauges {
             self.recorder.gauge(gauge.name, &daemon, value);
         }
-        for (team, left) in self.peer_node.quotas_left().into_iter().take(TEAMS_SHOWN) {
-            self.recorder.gauge(metric::QUOTA_LEFT.name, &ServiceName::from(team.as_str()), left);
+        for (team, remaining) in self.peer_node.quotas_left().into_iter().take(MAX_TEAMS_SHOWN) {
+            self.recorder.gauge(
+                metric::QUOTA_LEFT.name,
+                &ServiceName::from(team.as_str()),
+                remaining,
+            );
         }
         for (service, retries) in self.state.retries() {
             self.recorder.gauge(metric::RETRIES_SPENT.name, &service, retries.spent as f64);
@@ -117,19 +121,20 @@
         stream: &mut TcpStream,
         after: ConnectionAction,
     ) -> io::Result<ConnectionAction> {
-        self.look();
-        text(stream, 200, self.recorder.page(), after)
+        self.update_gauges();
+        write_text(stream, 200, self.recorder.page(), after)
     }
 }
 
-fn text(
+fn write_text(
     stream: &mut TcpStream,
     status: u16,
     body: String,
     after: ConnectionAction,
 ) -> io::Result<ConnectionAction> {
     let content_type = "text/plain; charset=utf-8".to_owned();
-    let whole = FullResponse { status, content_type, headers: Vec::new(), body: body.into_bytes() };
-    respond::write_response(stream, &whole, after)?;
+    let response =
+        FullResponse { status, content_type, headers: Vec::new(), body: body.into_bytes() };
+    respond::write_response(stream, &response, after)?;
     Ok(after)
 }
--- a/crates/tansyknotd/src/page.rs
+++ b/crates/tansyknotd/src/page.rs
@@ -1,56 +1,60 @@
-//! Counters and histograms as a text page that a collector fetches.
+//! Counters, gauges and histograms as a text page that a metrics collector scrapes.
 
 use std::{collections::BTreeMap, fmt::Write as _, sync::Mutex, time::Duration};
 
 use hdrhistogram::Histogram;
 use tansyknot_core::{name::ServiceName, telemetry::Recorder};
 
-/// Quantiles of each histogram on the page.
+/// Quantiles that the page shows of each histogram.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 /// Significant digits of the histograms.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-type Series = (&'static str, ServiceName);
+type SeriesKey = (&'static str, ServiceName);
 
 #[derive(Default)]
-struct Figures {
-    counts: BTreeMap<Series, u64>,
-    gauges: BTreeMap<Series, f64>,
-    /// Microseconds.
-    times: BTreeMap<Series, Histogram<u64>>,
+struct Metrics {
+    counts: BTreeMap<SeriesKey, u64>,
+    gauges: BTreeMap<SeriesKey, f64>,
+    /// In microseconds.
+    histograms: BTreeMap<SeriesKey, Histogram<u64>>,
 }
 
-/// Keeps figures for the page.
+/// Records metrics and renders them as a text page.
 #[derive(Default)]
 pub struct PageRecorder {
-    figures: Mutex<Figures>,
+    metrics: Mutex<Metrics>,
 }
 
 impl PageRecorder {
-    /// Writes the page in the usual text format of metrics.
+    /// Renders the page in the Prometheus text format.
     ///
     /// # Panics
     ///
-    /// Panics if another thread has panicked with the figures.
+    /// Panics if another thread has panicked while it held the lock of the metrics.
     pub fn page(&self) -> String {
-        let figures = self.figures.lock().expect("no holder of the lock panics");
+        let metrics = self.metrics.lock().expect("no holder of the lock panics");
         let mut page = String::new();
-        // Writing to a string does not fail.
-        for ((name, of), n) in &figures.counts {
-            let _ = writeln!(page, "tansyknot_{name}_total{{of=\"{of}\"}} {n}");
+        // Writing to a `String` can't fail.
+        for ((name, service), n) in &metrics.counts {
+            let _ = writeln!(page, "tansyknot_{name}_total{{of=\"{service}\"}} {n}");
         }
-        for ((name, of), value) in &figures.gauges {
-            let _ = writeln!(page, "tansyknot_{name}{{of=\"{of}\"}} {value}");
+        for ((name, service), value) in &metrics.gauges {
+            let _ = writeln!(page, "tansyknot_{name}{{of=\"{service}\"}} {value}");
         }
-        for ((name, of), times) in &figures.times {
+        for ((name, service), histogram) in &metrics.histograms {
             for q in QUANTILES {
-                let seconds = times.value_at_quantile(q) as f64 / 1e6;
+                let seconds = histogram.value_at_quantile(q) as f64 / 1e6;
                 let _ = writeln!(
                     page,
-                    "tansyknot_{name}_seconds{{of=\"{of}\",quantile=\"{q}\"}} {seconds}"
+                    "tansyknot_{name}_seconds{{of=\"{service}\",quantile=\"{q}\"}} {seconds}"
                 );
             }
-            let _ = writeln!(page, "tansyknot_{name}_seconds_count{{of=\"{of}\"}} {}", times.len());
+            let _ = writeln!(
+                page,
+                "tansyknot_{name}_seconds_count{{of=\"{service}\"}} {}",
+                histogram.len()
+            );
         }
         page
     }
@@ -58,21 +62,22 @@
 
 impl Recorder for PageRecorder {
     fn count(&self, name: &'static str, service: &ServiceName, n: u64) {
-        let mut figures = self.figures.lock().expect("no holder of the lock panics");
-        *figures.counts.entry((name, service.clone())).or_default() += n;
+        let mut metrics = self.metrics.lock().expect("no holder of the lock panics");
+        *metrics.counts.entry((name, service.clone())).or_default() += n;
     }
 
-    fn time(&self, name: &'static str, service: &ServiceName, span: Duration) {
-        let us = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        let mut figures = self.figures.lock().expect("no holder of the lock panics");
-        let times = figures.times.entry((name, service.clone())).or_insert_with(|| {
-            Histogram::new(DIGITS).expect("two digits are within the library's bounds")
+    fn time(&self, name: &'static str, service: &ServiceName, duration: Duration) {
+        let us = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        let mut metrics = self.metrics.lock().expect("no holder of the lock panics");
+        let histogram = metrics.histograms.entry((name, service.clone())).or_insert_with(|| {
+            Histogram::new(SIGNIFICANT_DIGITS)
+                .expect("two significant digits are valid for a histogram")
         });
-        times.saturating_record(us);
+        histogram.saturating_record(us);
     }
 
     fn gauge(&self, name: &'static str, service: &ServiceName, value: f64) {
-        let mut figures = self.figures.lock().expect("no holder of the lock panics");
-        figures.gauges.insert((name, service.clone()), value);
+        let mut metrics = self.metrics.lock().expect("no holder of the lock panics");
+        metrics.gauges.insert((name, service.clone()), value);
     }
 }
