--- a/crates/tansyknotd/src/logs.rs
+++ b/crates/tansyknotd/src/logs.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output, bounded and never blocking.
+//! Log lines on standard output, with a bounded rate and without blocking the caller.
 //!
-//! Lines are formatted by the thread that logs and written by one thread in batches. Lines
-//! beyond the rate, or beyond what the buffer holds, are counted and left out; lines of failures
-//! have half of the rate to themselves.
+//! The thread that logs formats a line, and a writer thread writes the lines in batches. Lines that
+//! exceed the rate or the buffer are dropped and counted. Half of the rate is reserved for warnings
+//! and errors.
 
 use std::{
     fmt,
@@ -18,27 +18,27 @@
 use tansyknot_config::{fleet::FleetTelemetry, settings::LogLevel};
 use tansyknot_core::{clock::BootInstant, event, name::DaemonName};
 
-/// Bytes that wait to be written; some seconds' worth at the highest rate.
-const BUFFER_MAX: usize = 256 << 10;
-/// Bytes that a pipe takes in one piece (POSIX's `PIPE_BUF` on Linux).
-const PIPE_PART: usize = 4096;
-/// Lines are collected this long before they are written together.
-const BATCH: Duration = Duration::from_millis(200);
-/// The share of the rate that lines of lesser levels may use.
-const LESSER_SHARE: f64 = 0.5;
+/// Maximum size of the buffer; at the highest rate it holds the lines of some seconds.
+const MAX_BUFFER_BYTES: usize = 256 << 10;
+/// Maximum size of an atomic write to a pipe (POSIX's `PIPE_BUF` on Linux).
+const PIPE_BUF_BYTES: usize = 4096;
+/// How long lines are collected before they are written together.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// The share of the rate that lines below the level of warnings may use.
+const ROUTINE_SHARE: f64 = 0.5;
 
-/// Starts the logs of a daemon that serves a fleet: bounded lines on standard output.
+/// Starts the logger of a daemon that serves a fleet: rate-limited lines on standard output.
 ///
 /// # Errors
 ///
-/// Fails if a logger has been set before.
+/// Fails if a logger is already set.
 pub fn start(telemetry: &FleetTelemetry, daemon: &DaemonName) -> Result<(), logforth::Error> {
     let stdout = BoundedStdout::start(telemetry.log_lines_per_s);
-    // Lines of all daemons are collected in one place: each says whose it is.
-    let mut of_daemon = StaticDiagnostic::default();
-    of_daemon.insert("daemon", daemon.as_str());
+    // The lines of all daemons are collected in one place, so each line names its daemon.
+    let mut daemon_diagnostic = StaticDiagnostic::default();
+    daemon_diagnostic.insert("daemon", daemon.as_str());
     logforth::starter_log::builder()
-        .dispatch(|d| d.diagnostic(of_daemon).append(stdout))
+        .dispatch(|d| d.diagnostic(daemon_diagnostic).append(stdout))
         .try_apply()?;
     log::set_max_level(level(telemetry.log_level));
     Ok(())
@@ -54,47 +54,47 @@
     }
 }
 
-/// Lines that wait to be written, and how many were left out.
+/// Lines that wait to be written, and the number of dropped lines.
 #[derive(Debug)]
 pub struct LineBuffer {
     lines_per_s: u32,
     bytes: Vec<u8>,
-    left_out: u64,
-    second: BootInstant,
+    dropped: u64,
+    window_start: BootInstant,
     lines: u32,
 }
 
-/// Whether a line tells of a failure.
+/// Whether a line reports a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It does.
+pub enum LineKind {
+    /// A warning or an error.
     Failure,
-    /// It does not.
-    Lesser,
+    /// A line of a lower level.
+    Routine,
 }
 
 impl LineBuffer {
-    /// Makes a buffer that takes `lines_per_s` lines a second.
+    /// Creates a buffer that accepts `lines_per_s` lines per second.
     pub fn new(lines_per_s: u32, now: BootInstant) -> Self {
-        Self { lines_per_s, bytes: Vec::new(), left_out: 0, second: now, lines: 0 }
+        Self { lines_per_s, bytes: Vec::new(), dropped: 0, window_start: now, lines: 0 }
     }
 
-    /// Counts a line; tells whether it may be added.
-    pub fn admit(&mut self, kind: Kind, now: BootInstant) -> bool {
-        if now.duration_since(self.second) >= Duration::from_secs(1) {
-            self.second = now;
+    /// Counts a line and returns whether it may be added.
+    pub fn admit(&mut self, kind: LineKind, now: BootInstant) -> bool {
+        if now.duration_since(self.window_start) >= Duration::from_secs(1) {
+            self.window_start = now;
             self.lines = 0;
         }
         let share = match kind {
-            Kind::Failure => 1.0,
-            Kind::Lesser => LESSER_SHARE,
+            LineKind::Failure => 1.0,
+            LineKind::Routine => ROUTINE_SHARE,
         };
-        let most = f64::from(self.lines_per_s) * share;
-        let is_admitted = f64::from(self.lines) < most && self.bytes.len() < BUFFER_MAX;
+        let max_lines = f64::from(self.lines_per_s) * share;
+        let is_admitted = f64::from(self.lines) < max_lines && self.bytes.len() < MAX_BUFFER_BYTES;
         if is_admitted {
             self.lines += 1;
         } else {
-            self.left_out += 1;
+            self.dropped += 1;
         }
         is_admitted
     }
@@ -105,16 +105,16 @@
         self.bytes.push(b'\n');
     }
 
-    /// Takes what is to be written, and how many lines were left out before it.
+    /// Takes the bytes to be written and the number of lines dropped since the last call.
     pub fn take(&mut self) -> (Vec<u8>, u64) {
-        (std::mem::take(&mut self.bytes), std::mem::take(&mut self.left_out))
+        (std::mem::take(&mut self.bytes), std::mem::take(&mut self.dropped))
     }
 }
 
 #[derive(Debug)]
 struct Shared {
     buffer: Mutex<LineBuffer>,
-    filled: Condvar,
+    line_added: Condvar,
 }
 
 /// Writes JSON lines to standard output through a bounded buffer.
@@ -130,19 +130,19 @@
 }
 
 impl BoundedStdout {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     ///
     /// # Panics
     ///
-    /// Panics if the system has no thread left, which the start of a daemon can't outlive.
+    /// Panics if the thread can't be spawned; a daemon can't start without it.
     pub fn start(lines_per_s: u32) -> Self {
         let buffer = LineBuffer::new(lines_per_s, BootInstant::now());
-        let shared = Arc::new(Shared { buffer: Mutex::new(buffer), filled: Condvar::new() });
-        let writer = Arc::clone(&shared);
+        let shared = Arc::new(Shared { buffer: Mutex::new(buffer), line_added: Condvar::new() });
+        let writer_shared = Arc::clone(&shared);
         thread::Builder::new()
             .name("logs".to_owned())
-            .spawn(move || write_batches(&writer))
-            .expect("the system has a thread left at the start");
+            .spawn(move || write_batches(&writer_shared))
+            .expect("the log writer thread can be spawned");
         Self { shared, layout: JsonLayout::default() }
     }
 }
@@ -152,46 +152,46 @@
         {
             let buffer = shared.buffer.lock().expect("no holder of the lock panics");
             let is_empty = |b: &mut LineBuffer| b.bytes.is_empty();
-            drop(shared.filled.wait_while(buffer, is_empty));
+            drop(shared.line_added.wait_while(buffer, is_empty));
         }
-        thread::sleep(BATCH);
-        write_out(shared);
+        thread::sleep(BATCH_INTERVAL);
+        write_buffered(shared);
     }
 }
 
-/// Splits lines into parts that a pipe takes in whole, so that no reader sees half of a line; a
-/// line that is longer is a part of its own.
-pub fn parts(mut lines: &[u8]) -> impl Iterator<Item = &[u8]> {
+/// Splits lines into chunks that a pipe accepts atomically, so that no reader sees part of a line. A
+/// line that exceeds this size is a chunk of its own.
+pub fn pipe_chunks(mut lines: &[u8]) -> impl Iterator<Item = &[u8]> {
     std::iter::from_fn(move || {
-        let most = lines.len().min(PIPE_PART);
-        let ends = |part: &[u8]| part.iter().rposition(|b| *b == b'\n');
-        let end = match ends(&lines[..most]) {
+        let max_len = lines.len().min(PIPE_BUF_BYTES);
+        let last_newline = |chunk: &[u8]| chunk.iter().rposition(|b| *b == b'\n');
+        let end = match last_newline(&lines[..max_len]) {
             Some(end) => end + 1,
             None => lines.iter().position(|b| *b == b'\n').map_or(lines.len(), |end| end + 1),
         };
-        let (part, rest) = lines.split_at(end);
+        let (chunk, rest) = lines.split_at(end);
         lines = rest;
-        (!part.is_empty()).then_some(part)
+        (!chunk.is_empty()).then_some(chunk)
     })
 }
 
-fn write_out(shared: &Shared) {
-    let (bytes, left_out) = {
+fn write_buffered(shared: &Shared) {
+    let (bytes, dropped) = {
         let mut buffer = shared.buffer.lock().expect("no holder of the lock panics");
         buffer.take()
     };
     let mut out = std::io::stdout().lock();
-    for part in parts(&bytes) {
-        // Nobody can be told that standard output is gone; requests go on.
-        let _ = out.write_all(part);
+    for chunk in pipe_chunks(&bytes) {
+        // A closed standard output can't be reported anywhere; requests continue.
+        let _ = out.write_all(chunk);
         let _ = out.flush();
     }
-    if left_out > 0 {
-        // Not through the logger, which would count this line against the rate that left them out.
+    if dropped > 0 {
+        // Bypasses the logger, which would count this line against the rate limit.
         let event::Event { number, level, text } = event::FLEET_LOG_DROPPED;
         let _ = writeln!(
             out,
-            "{{\"level\":\"{level}\",\"message\":\"{text}\",\"kvs\":{{\"event\":{number},\"lines\":{left_out}}}}}"
+            "{{\"level\":\"{level}\",\"message\":\"{text}\",\"kvs\":{{\"event\":{number},\"lines\":{dropped}}}}}"
         );
     }
     let _ = out.flush();
@@ -204,7 +204,7 @@
         diags: &[Box<dyn Diagnostic>],
     ) -> Result<(), Error> {
         let is_failure = record.level() <= record::Level::Warn;
-        let kind = if is_failure { Kind::Failure } else { Kind::Lesser };
+        let kind = if is_failure { LineKind::Failure } else { LineKind::Routine };
         let admitted = {
             let mut buffer = self.shared.buffer.lock().expect("no holder of the lock panics");
             buffer.admit(kind, BootInstant::now())
@@ -215,12 +215,12 @@
         let line = self.layout.format(record, diags)?;
         let mut buffer = self.shared.buffer.lock().expect("no holder of the lock panics");
         buffer.add(&line);
-        self.shared.filled.notify_one();
+        self.shared.line_added.notify_one();
         Ok(())
     }
 
     fn flush(&self) -> Result<(), Error> {
-        write_out(&self.shared);
+        write_buffered(&self.shared);
         Ok(())
     }
 }
