--- a/crates/tansyknotd/tests/fleet.rs
+++ b/crates/tansyknotd/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons that serve a fleet, as processes over stand-ins of the platform.
+//! Daemons that serve a fleet, run as processes against stand-ins of the platform.
 #![cfg(feature = "services")]
 
 mod launch;
@@ -15,12 +15,12 @@
 };
 use tansyknot_core::metric;
 
-fn dossier(address: SocketAddr, id: &str, model: &str) -> String {
+fn request_dossier(address: SocketAddr, id: &str, model: &str) -> String {
     let req = Request::new("/dossier/", id, Some(model), 20_000);
-    launch::ask(address, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
+    launch::send(address, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
 }
 
-/// A store with one engine, which holds one model at a time and has all of them on its disk.
+/// Starts a store with one engine, which loads one model at a time and has all models on its disk.
 fn platform() -> (Store, Runner) {
     let store = Store::new();
     let configuration = Configuration {
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn model_that_is_nowhere_is_loaded_and_a_planned_stop_ends_well() {
+fn missing_model_is_loaded_and_planned_stop_exits_with_zero() {
     let (store, runner) = platform();
     let mut daemon = Daemon::start("d0", store.open_endpoint().address);
-    let answer = dossier(daemon.callers, "id-1", "m1");
-    assert!(answer.contains("200 OK") && answer.contains("token 6"), "{answer}");
+    let response = request_dossier(daemon.callers, "id-1", "m1");
+    assert!(response.contains("200 OK") && response.contains("token 6"), "{response}");
     assert_eq!(runner.loaded_models(), ["m1"]);
     daemon.signal(Signal::TERM);
     let status = daemon.child.wait().expect("the daemon ends");
@@ -50,11 +50,11 @@
 }
 
 #[test]
-fn page_of_figures_has_what_the_catalogue_lists_and_nothing_else() {
+fn metrics_page_has_only_metrics_of_the_catalogue() {
     let (store, _runner) = platform();
     let daemon = Daemon::start("d3", store.open_endpoint().address);
-    assert!(dossier(daemon.callers, "id-1", "m1").contains("token 6"));
-    let page = launch::figures(daemon.metrics);
+    assert!(request_dossier(daemon.callers, "id-1", "m1").contains("token 6"));
+    let page = launch::metrics_page(daemon.metrics);
     let names: BTreeSet<&str> = page
         .lines()
         .filter(|line| line.starts_with("tansyknot_"))
@@ -63,21 +63,21 @@
         .collect();
     let known: BTreeSet<String> = metric::ALL.iter().map(metric::Metric::series).collect();
     let unknown: Vec<&&str> = names.iter().filter(|name| !known.contains(**name)).collect();
-    assert!(unknown.is_empty(), "not in the catalogue: {unknown:?}");
+    assert!(unknown.is_empty(), "metrics that the catalogue does not list: {unknown:?}");
     for m in [metric::ANSWERED, metric::FIRST_EVENT, metric::LOAD, metric::STORE_CALLS] {
         assert!(names.contains(m.series().as_str()), "{} is not on the page:\n{page}", m.series());
     }
 }
 
 #[test]
-fn planner_that_is_killed_is_replaced_and_requests_wait_for_that() {
+fn killed_planner_is_replaced_while_requests_wait() {
     let (store, runner) = platform();
     let first = Daemon::start("d1", store.open_endpoint().address);
-    assert!(dossier(first.callers, "id-1", "m1").contains("token 6"));
+    assert!(request_dossier(first.callers, "id-1", "m1").contains("token 6"));
     let second = Daemon::start("d2", store.open_endpoint().address);
     first.signal(Signal::KILL);
-    let answer = dossier(second.callers, "id-2", "m2");
-    assert!(answer.contains("200 OK") && answer.contains("token 6"), "{answer}");
+    let response = request_dossier(second.callers, "id-2", "m2");
+    assert!(response.contains("200 OK") && response.contains("token 6"), "{response}");
     assert_eq!(runner.loaded_models(), ["m2"]);
     let holders: Vec<String> = runner.received_orders().into_iter().map(|o| o.holder).collect();
     assert_eq!(holders, ["d1", "d1", "d2", "d2"]);
--- a/crates/tansyknotd/tests/launch/mod.rs
+++ b/crates/tansyknotd/tests/launch/mod.rs
@@ -1,5 +1,5 @@
-//! Starting a daemon that serves a fleet as a process of its own.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Starts daemons that serve a fleet, each as a process of its own.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -17,25 +17,26 @@
 use rustix::process::{Pid, Signal};
 use serde_json::Value;
 
-/// Nothing that is waited for takes this long; what does has failed.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
-/// A daemon that does not say within this long that it has started has failed.
-const START: Duration = Duration::from_secs(30);
+/// A condition that does not hold within this time has failed.
+pub(crate) const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// A daemon that does not log its start within this time has failed.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon that has said where it listens.
-pub(crate) struct Started {
+/// A daemon process that has logged its addresses.
+pub(crate) struct StartedDaemon {
     pub(crate) child: Child,
     pub(crate) callers: SocketAddr,
     pub(crate) ready: SocketAddr,
     pub(crate) metrics: SocketAddr,
 }
 
-/// Settings files that this process has written: two tests may name their daemons alike.
-static FILES: AtomicU64 = AtomicU64::new(0);
+/// The number of settings files that this process has written. It makes their names unique, as two
+/// tests may use one daemon name.
+static SETTINGS_FILE_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// Writes the settings file of a daemon on loopback; the caller removes it.
-pub(crate) fn settings(name: &str, store: SocketAddr) -> PathBuf {
-    let n = FILES.fetch_add(1, Ordering::SeqCst);
+pub(crate) fn write_settings(name: &str, store: SocketAddr) -> PathBuf {
+    let n = SETTINGS_FILE_COUNT.fetch_add(1, Ordering::SeqCst);
     let file = format!("tansyknot-fleet-{name}-{}-{n}.yaml", std::process::id());
     let path = std::env::temp_dir().join(file);
     let text = format!(
@@ -46,59 +47,59 @@
          leave_within: 2s\n  config_within: 2s\n  heartbeat: 1200ms\n  \
          recover_within: 3s\n  stop_grace: 8s\n"
     );
-    std::fs::write(&path, text).expect("the temporary directory takes files");
+    std::fs::write(&path, text).expect("the temporary directory is writable");
     path
 }
 
-/// Starts a daemon and waits until it says where it listens. With `SOAK_LOGS` set, its lines go on
-/// to standard error.
-pub(crate) fn spawn(settings: &Path) -> Started {
+/// Starts a daemon and waits until it has logged its addresses. If `SOAK_LOGS` is set, its log lines
+/// are copied to standard error.
+pub(crate) fn spawn(settings: &Path) -> StartedDaemon {
     let mut child = Command::new(env!("CARGO_BIN_EXE_tansyknotd"))
         .args(["--serves", "fleet", "--settings"])
         .arg(settings)
         .stdout(Stdio::piped())
         .spawn()
         .expect("the daemon starts");
-    let stdout = child.stdout.take().expect("it was piped");
+    let stdout = child.stdout.take().expect("standard output is piped");
     let (tx, rx) = mpsc::channel();
-    let keep = std::env::var("SOAK_LOGS").is_ok();
+    let copies_lines = std::env::var("SOAK_LOGS").is_ok();
     thread::spawn(move || {
-        // Lines are read to the end, so that the daemon never finds the pipe full.
+        // Lines are read to the end, so that a full pipe never blocks the daemon.
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-            if keep {
+            if copies_lines {
                 eprintln!("{line}");
             }
-            // Nobody waits for lines once the daemon has started.
+            // The receiver is dropped once the daemon has started.
             let _ = tx.send(line);
         }
     });
     let [callers, ready, metrics] = addresses(&rx);
-    Started { child, callers, ready, metrics }
+    StartedDaemon { child, callers, ready, metrics }
 }
 
-/// Sends `text` to a daemon; returns what it answers until it closes.
-pub(crate) fn ask(address: SocketAddr, text: &str) -> String {
+/// Sends `text` to a daemon and returns its response up to the end of the connection.
+pub(crate) fn send(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the daemon listens");
-    stream.write_all(text.as_bytes()).expect("the daemon reads");
-    let mut answer = Vec::new();
-    // A reset ends the answer as well.
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    stream.write_all(text.as_bytes()).expect("the daemon accepts the request");
+    let mut response = Vec::new();
+    // A reset also ends the response.
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Returns the page of a daemon's figures.
-pub(crate) fn figures(metrics: SocketAddr) -> String {
-    ask(metrics, "GET /metrics HTTP/1.1\r\nConnection: close\r\n\r\n")
+/// Returns the metrics page of a daemon.
+pub(crate) fn metrics_page(metrics: SocketAddr) -> String {
+    send(metrics, "GET /metrics HTTP/1.1\r\nConnection: close\r\n\r\n")
 }
 
-/// Waits for the line that says where a daemon listens.
+/// Waits for the log line that contains the addresses of a daemon.
 fn addresses(rx: &mpsc::Receiver<String>) -> [SocketAddr; 3] {
     loop {
-        let line = rx.recv_timeout(START).expect("the daemon says that it has started");
+        let line = rx.recv_timeout(START_TIMEOUT).expect("the daemon logs that it has started");
         let doc: Value = serde_json::from_str(&line).unwrap_or_default();
         let address = |name: &str| doc["kvs"][name].as_str().and_then(|text| text.parse().ok());
-        let all = [address("callers"), address("ready"), address("metrics")];
-        if let [Some(callers), Some(ready), Some(metrics)] = all {
+        let parsed = [address("callers"), address("ready"), address("metrics")];
+        if let [Some(callers), Some(ready), Some(metrics)] = parsed {
             return [callers, ready, metrics];
         }
     }
@@ -115,35 +116,35 @@
 
 impl Daemon {
     pub(crate) fn start(name: &str, store: SocketAddr) -> Self {
-        let settings = settings(name, store);
-        let Started { child, callers, ready, metrics } = spawn(&settings);
+        let settings = write_settings(name, store);
+        let StartedDaemon { child, callers, ready, metrics } = spawn(&settings);
         let daemon = Self { child, callers, ready, metrics, settings };
-        await_that(|| {
-            ask(daemon.ready, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n").contains("200")
+        wait_until(|| {
+            send(daemon.ready, "GET / HTTP/1.1\r\nConnection: close\r\n\r\n").contains("200")
         });
         daemon
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("the daemon is there");
+        rustix::process::kill_process(pid, signal).expect("the daemon's process exists");
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
     }
 }
 
-/// Waits until something holds.
-pub(crate) fn await_that(holds: impl Fn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+/// Waits until a condition holds.
+pub(crate) fn wait_until(holds: impl Fn() -> bool) {
+    let until = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "it did not come true in time");
+        assert!(Instant::now() < until, "the condition did not hold in time");
         thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/tansyknotd/tests/poison.rs
+++ b/crates/tansyknotd/tests/poison.rs
@@ -1,14 +1,10 @@
-//! Requests under which targets crash, with daemons as processes.
+//! Poison requests, which crash each target that runs them, with daemons as processes.
 //!
-//! What users saw: a request that crashed each target that ran it came again and again, at any
-//! daemon, and was handed to one target after the other. Twenty ended, and what others had there
-//! ended with them. After the third, three more sends are allowed once word of it has had time to
-//! reach every daemon.
-//!
-//! The cause: a crash counted as the target's failure, and nothing about the request outlived the
-//! attempt. The evidence: in the daemons' logs attempts of the same request, which had no mark in
-//! common, were sent on within 8 ms of their arrival however many targets had ended under it, and
-//! within one attempt 3 ms after the crash; here 20 to 22 sends where three are allowed.
+//! Guards against daemons that send a repeated poison request to one target after another: if a crash
+//! only counts as a failure of the target, nothing about the request outlives the attempt, and each
+//! arrival crashes another target together with the requests of other callers there. Without a
+//! conviction of the request, 20 to 22 late sends reach targets; three are allowed once every daemon
+//! has had time to receive the report of the third crash.
 #![cfg(feature = "services")]
 
 mod launch;
@@ -31,32 +27,32 @@
 
 const DAEMONS: usize = 3;
 const TARGETS: usize = 6;
-/// How often the request comes again.
-const EVERY: Duration = Duration::from_millis(120);
-/// Daemons know what has happened this long after it.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Sends that are allowed later than that.
-const LATE_SENDS: usize = 3;
-/// How long the request goes on coming after that.
-const GOES_ON: Duration = Duration::from_secs(4);
-/// Crashes after which a request is known.
-const KNOWN: usize = 3;
+/// The interval between two sends of the poison request.
+const SEND_INTERVAL: Duration = Duration::from_millis(120);
+/// Every daemon has received the report of a crash after this time.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Sends to targets that are allowed after the propagation time.
+const MAX_LATE_SENDS: usize = 3;
+/// How long the request is repeated after the propagation time.
+const REPEAT_DURATION: Duration = Duration::from_secs(4);
+/// Crashes after which a request is convicted.
+const CRASHES_TO_CONVICT: usize = 3;
 
-/// A store with targets that crash, and daemons before them.
+/// A store with targets that crash, and the daemons in front of them.
 struct World {
     store: Store,
-    record: Arc<CrashLog>,
+    crash_log: Arc<CrashLog>,
     daemons: Vec<Daemon>,
-    sent: usize,
+    sent_count: usize,
 }
 
 impl World {
     fn start(name: &str, sequence: CrashSequence) -> Self {
         let store = Store::new();
         Configuration::single_model(1).write(&store);
-        let record = Arc::new(CrashLog::with_sequence(sequence));
-        (0..TARGETS).for_each(|_| crash::start(&store, &record));
-        let mut world = Self { store, record, daemons: Vec::new(), sent: 0 };
+        let crash_log = Arc::new(CrashLog::with_sequence(sequence));
+        (0..TARGETS).for_each(|_| crash::start(&store, &crash_log));
+        let mut world = Self { store, crash_log, daemons: Vec::new(), sent_count: 0 };
         world.start_daemons(name);
         world
     }
@@ -66,31 +62,35 @@
         self.daemons = (0..DAEMONS).map(start).collect();
     }
 
-    /// Has the request come again, at the next daemon, until `is_over`.
-    fn ask_until(&mut self, is_over: impl Fn(&CrashLog) -> bool) {
-        let began = Instant::now();
-        while !is_over(&self.record) {
-            assert!(began.elapsed() < launch::PATIENCE, "it did not come true in time");
-            self.sent += 1;
-            let id = format!("id-{}", self.sent);
-            let callers = self.daemons[self.sent % DAEMONS].callers;
-            thread::spawn(move || ask(callers, "/lookup/crash", &id));
-            thread::sleep(EVERY);
+    /// Sends the request repeatedly, to each daemon in turn, until `is_over` returns true.
+    fn send_until(&mut self, is_over: impl Fn(&CrashLog) -> bool) {
+        let started_at = Instant::now();
+        while !is_over(&self.crash_log) {
+            assert!(
+                started_at.elapsed() < launch::CONDITION_TIMEOUT,
+                "the condition did not hold in time"
+            );
+            self.sent_count += 1;
+            let id = format!("id-{}", self.sent_count);
+            let callers = self.daemons[self.sent_count % DAEMONS].callers;
+            thread::spawn(move || send(callers, "/lookup/crash", &id));
+            thread::sleep(SEND_INTERVAL);
         }
     }
 
     fn late_sends(&self, since: Instant) -> usize {
-        self.record.arrivals().iter().filter(|at| **at > since + CONTACT).count()
+        self.crash_log.arrivals().iter().filter(|at| **at > since + PROPAGATION_TIME).count()
     }
 }
 
-fn ask(callers: SocketAddr, path: &str, id: &str) -> String {
+fn send(callers: SocketAddr, path: &str, id: &str) -> String {
     let req = Request::new(path, id, None, 1_500);
-    launch::ask(callers, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
+    launch::send(callers, &Request { extra_headers: "Connection: close\r\n", ..req }.text())
 }
 
-// Where the port goes on accepting, a cut counted as no crash, and the one look that followed it found
-// somebody: 78 of 96 sends came later than three seconds after the third crash.
+// If the port of a crashed target stays open, a connection that closes early does not prove the crash,
+// and a single check of the port succeeds. With no further check, 78 requests were sent later than
+// three seconds after the third crash, and 18 before.
 #[parameterized(
     port_closes_first = { "poison", CrashSequence::PortClosesFirst },
     port_stays = { "stays", CrashSequence::PortStaysOpen },
@@ -100,10 +100,14 @@
     sequence: CrashSequence,
 ) {
     let mut world = World::start(name, sequence);
-    world.ask_until(|record| record.crashes().len() >= KNOWN);
-    let third = world.record.crashes()[KNOWN - 1];
-    world.ask_until(|_| third.elapsed() > CONTACT + GOES_ON);
-    assert!(world.late_sends(third) <= LATE_SENDS, "{} late sends", world.late_sends(third));
+    world.send_until(|crash_log| crash_log.crashes().len() >= CRASHES_TO_CONVICT);
+    let third_crash = world.crash_log.crashes()[CRASHES_TO_CONVICT - 1];
+    world.send_until(|_| third_crash.elapsed() > PROPAGATION_TIME + REPEAT_DURATION);
+    assert!(
+        world.late_sends(third_crash) <= MAX_LATE_SENDS,
+        "{} late sends",
+        world.late_sends(third_crash)
+    );
 }
 
 #[parameterized(
@@ -115,12 +119,16 @@
     sequence: CrashSequence,
 ) {
     let mut world = World::start(name, sequence);
-    world.ask_until(|record| record.crashes().len() >= KNOWN);
-    let third = world.record.crashes()[KNOWN - 1];
-    world.ask_until(|_| third.elapsed() > Duration::from_secs(2));
+    world.send_until(|crash_log| crash_log.crashes().len() >= CRASHES_TO_CONVICT);
+    let third_crash = world.crash_log.crashes()[CRASHES_TO_CONVICT - 1];
+    world.send_until(|_| third_crash.elapsed() > Duration::from_secs(2));
     world.daemons.clear();
     world.start_daemons(&format!("{name}_again"));
-    let began = Instant::now();
-    world.ask_until(|_| began.elapsed() > CONTACT + GOES_ON);
-    assert!(world.late_sends(began) <= LATE_SENDS, "{} late sends", world.late_sends(began));
+    let started_at = Instant::now();
+    world.send_until(|_| started_at.elapsed() > PROPAGATION_TIME + REPEAT_DURATION);
+    assert!(
+        world.late_sends(started_at) <= MAX_LATE_SENDS,
+        "{} late sends",
+        world.late_sends(started_at)
+    );
 }
--- a/crates/tansyknotd/tests/soak/backpressure.rs
+++ b/crates/tansyknotd/tests/soak/backpressure.rs
@@ -1,5 +1,6 @@
-//! Targets that say that they take little, want rest, or leave, before daemons that lose the store, read
-//! their settings again and get new configurations: they get what they have said, and others serve.
+//! Targets that signal a rate limit, a retry delay or their removal, while daemons lose the store, reload
+//! their settings and receive new configurations. Daemons must follow the signals, and the other
+//! targets must serve every request.
 
 use std::{
     sync::atomic::{AtomicBool, Ordering},
@@ -13,113 +14,123 @@
 
 use crate::{
     client,
-    proxy::Weather,
+    proxy::PathState,
     world::{Daemon, World},
 };
 
-/// All daemons know of a new target this long after it has come.
-const KNOWN: Duration = Duration::from_secs(3);
-/// How long targets speak.
-const SPEAKS: Duration = Duration::from_secs(7);
-/// The users' bounds: on a limit from this span after it was named, in each window; on rests from half a
-/// second after; on leavings.
-const CONTACT: Duration = Duration::from_secs(3);
-const WINDOW: Duration = Duration::from_secs(4);
-const REST: Duration = Duration::from_secs(30);
-const REST_FROM: Duration = Duration::from_millis(500);
-const REST_SENDS: usize = 2;
-const LEAVE_WITHIN: Duration = Duration::from_secs(2);
-/// Requests a second that a target takes, and the most in a window.
-const LIMIT: usize = 1;
-const LIMIT_MOST: usize = 4 * LIMIT * 3 / 2 + 5;
-const CALLERS: usize = 6;
+/// Every daemon has a new target in its list after this time.
+const LIST_PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// How long targets send their signals.
+const SIGNAL_DURATION: Duration = Duration::from_secs(7);
+/// Daemons must keep to a rate limit after this time.
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
+/// The window in which requests are counted against a rate limit.
+const LIMIT_WINDOW: Duration = Duration::from_secs(4);
+/// The retry delay that a target signals.
+const RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Daemons must keep to a retry delay after this time.
+const RETRY_DELAY_GRACE: Duration = Duration::from_millis(500);
+/// Maximum number of requests that each daemon may send during a retry delay.
+const MAX_SENDS_IN_RETRY_DELAY: usize = 2;
+/// Daemons must send nothing to a leaving target after this time.
+const LEAVE_GRACE: Duration = Duration::from_secs(2);
+/// Requests per second that a target with a rate limit accepts.
+const LIMIT_PER_S: usize = 1;
+/// Maximum number of requests in a window at a target with a rate limit.
+const MAX_SENDS_IN_WINDOW: usize = 4 * LIMIT_PER_S * 3 / 2 + 5;
+const CALLER_COUNT: usize = 6;
 
-/// Plays one seed; returns what broke.
+/// Runs one seed and returns the violations.
 pub(crate) fn run(seed: u64) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let world = World::start(seed);
-    let [limited, resting, leaving] =
+    let [limited, backing_off, leaving] =
         ["i-w1", "i-w2", "i-w3"].map(|id| Runner::start(&world.store, PLAIN, id, &[]));
     let is_over = AtomicBool::new(false);
-    let (spoken, refused) = thread::scope(|scope| {
-        let callers: Vec<_> = (0..CALLERS)
+    let (signalled_at, unserved) = thread::scope(|scope| {
+        let callers: Vec<_> = (0..CALLER_COUNT)
             .map(|n| {
                 let (world, is_over) = (&world, &is_over);
-                scope.spawn(move || ask_on(world, is_over, seed * 100 + n as u64))
+                scope.spawn(move || send_requests(world, is_over, seed * 100 + n as u64))
             })
             .collect();
-        thread::sleep(KNOWN);
-        limited.set_extra_headers(&[("Server-Limit", &LIMIT.to_string())]);
-        resting.set_retry_delay(Some(REST));
+        thread::sleep(LIST_PROPAGATION_TIME);
+        limited.set_extra_headers(&[("Server-Limit", &LIMIT_PER_S.to_string())]);
+        backing_off.set_retry_delay(Some(RETRY_DELAY));
         leaving.set_extra_headers(&[("Server-Leaving", "1")]);
-        let spoken = Instant::now();
-        while spoken.elapsed() < SPEAKS {
+        let signalled_at = Instant::now();
+        while signalled_at.elapsed() < SIGNAL_DURATION {
             thread::sleep(Duration::from_millis(rng.random_range(50..400)));
             let daemon = &world.daemons[rng.random_range(0..world.daemons.len())];
-            strike(&world, daemon, &mut rng);
+            inject_fault(&world, daemon, &mut rng);
         }
         is_over.store(true, Ordering::SeqCst);
-        let refused: usize =
+        let unserved: usize =
             callers.into_iter().map(|c| c.join().expect("a caller does not panic")).sum();
-        (spoken, refused)
+        (signalled_at, unserved)
     });
-    world.mend();
-    let mut broken = Vec::new();
-    let most = most_within(&limited.arrivals(), spoken + CONTACT);
-    if most > LIMIT_MOST {
-        broken.push(format!("{most} requests in 4 s at a target that takes {LIMIT} a second"));
+    world.end_faults();
+    let mut violations = Vec::new();
+    let max_sends = max_in_window(&limited.arrivals(), signalled_at + LIMIT_GRACE);
+    if max_sends > MAX_SENDS_IN_WINDOW {
+        violations.push(format!(
+            "{max_sends} requests in 4 s at a target that accepts {LIMIT_PER_S} per second"
+        ));
     }
     let late = |runner: &Runner, after| runner.arrivals().iter().filter(|at| **at > after).count();
-    let sends = late(&resting, spoken + REST_FROM);
-    if sends > REST_SENDS * world.daemons.len() {
-        broken.push(format!("{sends} requests at a target that wants rest"));
+    let sends = late(&backing_off, signalled_at + RETRY_DELAY_GRACE);
+    if sends > MAX_SENDS_IN_RETRY_DELAY * world.daemons.len() {
+        violations.push(format!("{sends} requests at a target in its retry delay"));
     }
-    let sends = late(&leaving, spoken + LEAVE_WITHIN);
+    let sends = late(&leaving, signalled_at + LEAVE_GRACE);
     if sends > 0 {
-        broken.push(format!("{sends} requests at a target that leaves"));
+        violations.push(format!("{sends} requests at a leaving target"));
     }
-    if refused > 0 {
-        broken.push(format!("{refused} requests without a success though two targets are sound"));
+    if unserved > 0 {
+        violations.push(format!("{unserved} requests failed although two targets work normally"));
     }
-    broken
+    violations
 }
 
-/// Disturbs a daemon as no excuse for anything.
-fn strike(world: &World, daemon: &Daemon, rng: &mut StdRng) {
+/// Injects a fault into a daemon; no fault excuses a violation.
+fn inject_fault(world: &World, daemon: &Daemon, rng: &mut StdRng) {
     match rng.random_range(0..6) {
         0 => daemon.signal(Signal::HUP),
         1 => world.change_config(),
-        2 => daemon.store_path.set(Weather::Slow(Duration::from_millis(60))),
-        3 => daemon.store_path.set(Weather::Silent),
+        2 => daemon.store_path.set(PathState::Delayed(Duration::from_millis(60))),
+        3 => daemon.store_path.set(PathState::Blocked),
         4 => daemon.store_path.reset_all(),
-        _ => daemon.store_path.set(Weather::Fair),
+        _ => daemon.store_path.set(PathState::Open),
     }
 }
 
-/// Asks all the while over kept connections; returns how often it got no success.
-fn ask_on(world: &World, is_over: &AtomicBool, seed: u64) -> usize {
+/// Sends requests over persistent connections until `is_over`; returns the number of failed requests.
+fn send_requests(world: &World, is_over: &AtomicBool, seed: u64) -> usize {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut refused = 0;
-    let mut kept: Vec<_> = world.daemons.iter().map(|_| None).collect();
+    let mut unserved = 0;
+    let mut connections: Vec<_> = world.daemons.iter().map(|_| None).collect();
     for n in 0.. {
         if is_over.load(Ordering::SeqCst) {
             break;
         }
         let d = rng.random_range(0..world.daemons.len());
-        let stream = kept[d].take().or_else(|| client::connect(world.daemons[d].callers()));
+        let stream = connections[d].take().or_else(|| client::connect(world.daemons[d].callers()));
         let id = format!("w{seed}-{n}");
-        let asked = stream.and_then(|mut s| Some((client::ask(&mut s, "/lookup/", &id, None)?, s)));
-        let is_served = asked.as_ref().is_some_and(|(answer, _)| answer.status == 200);
-        refused += usize::from(!is_served);
-        kept[d] = asked.filter(|(answer, _)| answer.keeps_connection()).map(|(_, stream)| stream);
+        let exchange =
+            stream.and_then(|mut s| Some((client::send(&mut s, "/lookup/", &id, None)?, s)));
+        let is_served = exchange.as_ref().is_some_and(|(response, _)| response.status == 200);
+        unserved += usize::from(!is_served);
+        connections[d] =
+            exchange.filter(|(response, _)| response.keeps_connection()).map(|(_, stream)| stream);
         thread::sleep(Duration::from_millis(rng.random_range(1..10)));
     }
-    refused
+    unserved
 }
 
-/// Returns the most arrivals in a window that begins at `from` or later.
-fn most_within(arrivals: &[Instant], from: Instant) -> usize {
+/// Returns the maximum number of arrivals in any window that begins at `from` or later.
+fn max_in_window(arrivals: &[Instant], from: Instant) -> usize {
     let counted: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= from).collect();
-    let within = |n: usize| counted[n..].iter().filter(|at| **at < counted[n] + WINDOW).count();
+    let within =
+        |n: usize| counted[n..].iter().filter(|at| **at < counted[n] + LIMIT_WINDOW).count();
     (0..counted.len()).map(within).max().unwrap_or(0)
 }
--- a/crates/tansyknotd/tests/soak/check.rs
+++ b/crates/tansyknotd/tests/soak/check.rs
@@ -1,4 +1,4 @@
-//! What must hold over a whole run, from what callers and runners have seen.
+//! Invariants of a run, checked from what callers and runners have observed.
 
 use std::{
     collections::HashMap,
@@ -11,18 +11,18 @@
     world::{MODELS_AT_ONCE, World},
 };
 
-/// The platform's bound on orders of two holders to one target.
-const TURN: Duration = Duration::from_millis(3000);
-/// Orders that arrive this soon after their sender went on or their path healed don't count, as
-/// the platform has it (`thaw-slack-ms`).
-const SLACK: Duration = Duration::from_millis(300);
-/// Every daemon serves every kind of request again within this long after the last fault.
-const RECOVERY: Duration = Duration::from_secs(20);
+/// The platform's minimum interval between orders of two lease holders to one target.
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(3000);
+/// Orders that arrive within this time after their sender has resumed or their path has released held
+/// bytes don't count, by a rule of the platform (`thaw-slack-ms`).
+const RESUME_SLACK: Duration = Duration::from_millis(300);
+/// Every daemon must serve every kind of request again within this time after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until each daemon serves each kind of request again.
-pub(crate) fn recovery(world: &World) -> Vec<String> {
-    let until = Instant::now() + RECOVERY;
-    let mut broken = Vec::new();
+/// Waits until each daemon serves each kind of request again; returns the failures.
+pub(crate) fn wait_for_recovery(world: &World) -> Vec<String> {
+    let until = Instant::now() + RECOVERY_TIMEOUT;
+    let mut violations = Vec::new();
     for (n, daemon) in world.daemons.iter().enumerate() {
         let kinds = [
             ("/lookup/", None),
@@ -31,29 +31,29 @@
             ("/dossier/", Some("m3")),
         ];
         for (path, model) in kinds {
-            let mut tries = 0;
+            let mut attempts = 0;
             let served = loop {
-                tries += 1;
-                let id = format!("r{n}{}-{tries}", path.replace('/', "-"));
-                let answer = client::connect(daemon.callers())
-                    .and_then(|mut stream| client::ask(&mut stream, path, &id, model));
-                let status = answer.map_or(0, |a| a.status);
+                attempts += 1;
+                let id = format!("r{n}{}-{attempts}", path.replace('/', "-"));
+                let response = client::connect(daemon.callers())
+                    .and_then(|mut stream| client::send(&mut stream, path, &id, model));
+                let status = response.map_or(0, |a| a.status);
                 if status == 200 || Instant::now() >= until {
                     break status == 200;
                 }
                 thread::sleep(Duration::from_millis(100));
             };
             if !served {
-                broken.push(format!("daemon {n} does not serve {path} again"));
+                violations.push(format!("daemon {n} does not serve {path} again"));
             }
         }
     }
-    broken
+    violations
 }
 
-/// Returns each promise that was broken.
-pub(crate) fn promises(world: &World) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Returns the violations of the invariants.
+pub(crate) fn invariants(world: &World) -> Vec<String> {
+    let mut violations = Vec::new();
     let mut runs: HashMap<String, usize> = HashMap::new();
     for r in &world.runners {
         for ran in r.standin.executed_requests() {
@@ -63,53 +63,53 @@
     let outcomes = world.outcomes.lock().expect("no holder of the lock panics").clone();
     for o in &outcomes {
         let n = runs.get(&o.id).copied().unwrap_or(0);
-        let most = if matches!(o.path, "/ledger/" | "/dossier/") { 1 } else { 2 };
-        if n > most {
-            broken.push(format!("{} {} ran {n} times", o.path, o.id));
+        let max_runs = if matches!(o.path, "/ledger/" | "/dossier/") { 1 } else { 2 };
+        if n > max_runs {
+            violations.push(format!("{} {} ran {n} times", o.path, o.id));
         }
         let says_not_run = matches!(o.status, 503 | 429 | 408 | 421);
-        if says_not_run && most == 1 && n > 0 {
-            broken.push(format!("{} {} was refused with {} and ran", o.path, o.id, o.status));
+        if says_not_run && max_runs == 1 && n > 0 {
+            violations.push(format!("{} {} was refused with {} and ran", o.path, o.id, o.status));
         }
         if matches!(o.status, 404 | 401 | 403) {
-            broken.push(format!("{} {} was denied with {}", o.path, o.id, o.status));
+            violations.push(format!("{} {} was denied with {}", o.path, o.id, o.status));
         }
     }
     for r in &world.runners {
-        broken.extend(orders(world, &r.standin.id));
-        let most = r.standin.max_models();
-        if most > MODELS_AT_ONCE {
-            broken.push(format!("{} held {most} models", r.standin.id));
+        violations.extend(check_orders(world, &r.standin.id));
+        let max_models = r.standin.max_models();
+        if max_models > MODELS_AT_ONCE {
+            violations.push(format!("{} loaded {max_models} models", r.standin.id));
         }
     }
     if outcomes.iter().filter(|o| o.status == 200).count() < 20 {
-        broken.push("hardly any request was served".to_owned());
+        violations.push("fewer than 20 requests were served".to_owned());
     }
-    broken
+    violations
 }
 
-/// Checks the turns and tokens of the holders at one runner.
-fn orders(world: &World, id: &str) -> Vec<String> {
+/// Checks the intervals and the fencing tokens of the orders at one runner.
+fn check_orders(world: &World, id: &str) -> Vec<String> {
     let Some(r) = world.runners.iter().find(|r| r.standin.id == id) else { return Vec::new() };
     let seen = r.standin.received_orders();
-    let mut delayed = r.path.healed();
-    delayed.extend(world.daemons.iter().flat_map(|d| d.thawed()));
+    let mut delayed = r.path.release_times();
+    delayed.extend(world.daemons.iter().flat_map(|d| d.resume_times()));
     let is_excused =
-        |at: Instant| delayed.iter().any(|d| *d <= at && at.duration_since(*d) <= SLACK);
+        |at: Instant| delayed.iter().any(|d| *d <= at && at.duration_since(*d) <= RESUME_SLACK);
     let seen: Vec<_> = seen.into_iter().filter(|o| !is_excused(o.at)).collect();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for (before, after) in seen.iter().zip(seen.iter().skip(1)) {
-        let span = after.at.duration_since(before.at);
+        let interval = after.at.duration_since(before.at);
         let (holder, next) = (&before.holder, &after.holder);
-        if holder != next && span < TURN {
-            broken.push(format!("{id}: {holder} and {next} took turns in {span:?}"));
+        if holder != next && interval < HANDOVER_INTERVAL {
+            violations.push(format!("{id}: {holder} and {next} sent orders {interval:?} apart"));
         }
         if after.fence < before.fence {
-            broken.push(format!("{id}: token {} after {}", after.fence, before.fence));
+            violations.push(format!("{id}: fencing token {} after {}", after.fence, before.fence));
         }
         if holder != next && before.fence == after.fence {
-            broken.push(format!("{id}: two holders with token {}", before.fence));
+            violations.push(format!("{id}: two holders with fencing token {}", before.fence));
         }
     }
-    broken
+    violations
 }
--- a/crates/tansyknotd/tests/soak/client.rs
+++ b/crates/tansyknotd/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! A caller that asks all the while over kept connections, and checks what it is told.
+//! A caller that sends requests over persistent connections and checks the responses.
 
 use std::{
     io::{BufRead, BufReader, Read, Write},
@@ -11,35 +11,35 @@
 
 use crate::world::{MODEL_COUNT, Outcome, World};
 
-/// How long a caller waits for an answer; above every route's timeout.
-const WAIT: Duration = Duration::from_secs(9);
-/// The routes, and whether their answers are streams.
+/// How long a caller waits for a response; longer than the timeout of every route.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(9);
+/// The routes, and whether their responses are streams.
 const ROUTES: [(&str, bool); 4] =
     [("/lookup/", false), ("/ledger/", false), ("/query/", true), ("/dossier/", true)];
 
-/// An answer as far as it came.
-pub(crate) struct Answer {
+/// A response as far as it was received.
+pub(crate) struct Response {
     pub(crate) status: u16,
-    keeps: bool,
+    keep_alive: bool,
     body: String,
-    /// Whether the body ended as its head said.
-    whole: bool,
+    /// Whether the body ended as the head of the response announced.
+    is_complete: bool,
 }
 
-impl Answer {
-    /// Tells whether another request may follow on the connection.
+impl Response {
+    /// Returns whether another request may follow on the connection.
     pub(crate) fn keeps_connection(&self) -> bool {
-        self.keeps && self.whole
+        self.keep_alive && self.is_complete
     }
 }
 
-/// Asks until the world is over; returns what broke.
+/// Sends requests until the clients are stopped; returns the violations.
 pub(crate) fn run(world: &World, seed: u64) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut broken = Vec::new();
-    let mut kept: Option<BufReader<TcpStream>> = None;
+    let mut violations = Vec::new();
+    let mut connection: Option<BufReader<TcpStream>> = None;
     for n in 0_u64.. {
-        if world.is_over() {
+        if world.are_clients_stopped() {
             break;
         }
         let (path, is_stream) = ROUTES[rng.random_range(0..ROUTES.len())];
@@ -47,64 +47,66 @@
         let id = format!("s{seed}-{n}");
         let daemon = &world.daemons[rng.random_range(0..world.daemons.len())];
         if rng.random_bool(0.2) {
-            kept = None;
+            connection = None;
         }
-        let stream = kept.take().or_else(|| connect(daemon.callers()));
+        let stream = connection.take().or_else(|| connect(daemon.callers()));
         let Some(mut stream) = stream else {
             std::thread::sleep(Duration::from_millis(30));
             continue;
         };
-        let answer = ask(&mut stream, path, &id, is_stream.then_some(model.as_str()));
-        let status = answer.as_ref().map_or(0, |a| a.status);
-        if let Some(answer) = answer {
-            broken.extend(judge(&answer, path, &id, is_stream));
-            if answer.keeps_connection() {
-                kept = Some(stream);
+        let response = send(&mut stream, path, &id, is_stream.then_some(model.as_str()));
+        let status = response.as_ref().map_or(0, |a| a.status);
+        if let Some(response) = response {
+            violations.extend(check_response(&response, path, &id, is_stream));
+            if response.keeps_connection() {
+                connection = Some(stream);
             }
         }
-        world.saw(Outcome { id, path, status });
+        world.record_outcome(Outcome { id, path, status });
     }
-    broken
+    violations
 }
 
-/// Checks that an answer is whole and this request's.
-fn judge(answer: &Answer, path: &str, id: &str, is_stream: bool) -> Option<String> {
-    if answer.status != 200 {
+/// Checks that a successful response is complete and belongs to the request.
+fn check_response(response: &Response, path: &str, id: &str, is_stream: bool) -> Option<String> {
+    if response.status != 200 {
         return None;
     }
     if !is_stream {
-        let is_own = !answer.whole || answer.body == format!("answer to {id}");
-        return (!is_own).then(|| format!("{path} {id}: another answer: {:?}", answer.body));
+        let is_own = !response.is_complete || response.body == format!("answer to {id}");
+        return (!is_own)
+            .then(|| format!("{path} {id}: response of another request: {:?}", response.body));
     }
-    let lines = answer.body.lines().filter_map(|l| l.strip_prefix("data: token "));
+    let lines = response.body.lines().filter_map(|l| l.strip_prefix("data: token "));
     let tokens: Vec<u64> = lines.filter_map(|n| n.parse().ok()).collect();
     let in_order: Vec<u64> = (1..=tokens.len() as u64).collect();
     if tokens != in_order {
         return Some(format!("{path} {id}: tokens {tokens:?}"));
     }
-    let looks_whole = answer.whole && tokens.len() as u64 != EVENTS_PER_STREAM;
-    looks_whole.then(|| format!("{path} {id}: ends cleanly after {} events", tokens.len()))
+    let has_wrong_event_count = response.is_complete && tokens.len() as u64 != EVENTS_PER_STREAM;
+    has_wrong_event_count
+        .then(|| format!("{path} {id}: the stream ends cleanly after {} events", tokens.len()))
 }
 
 pub(crate) fn connect(address: SocketAddr) -> Option<BufReader<TcpStream>> {
     let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
-    stream.set_read_timeout(Some(WAIT)).ok()?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     Some(BufReader::new(stream))
 }
 
-/// Sends a request and reads its answer; `None` if none came.
-pub(crate) fn ask(
+/// Sends a request and reads its response; returns `None` if none was received.
+pub(crate) fn send(
     stream: &mut BufReader<TcpStream>,
     path: &str,
     id: &str,
     model: Option<&str>,
-) -> Option<Answer> {
+) -> Option<Response> {
     let req = Request::new(path, id, model, 4_000);
     stream.get_mut().write_all(req.text().as_bytes()).ok()?;
     let mut line = String::new();
     stream.read_line(&mut line).ok()?;
     let status = line.split(' ').nth(1)?.parse().ok()?;
-    let (mut keeps, mut length, mut chunked) = (true, 0, false);
+    let (mut keep_alive, mut length, mut chunked) = (true, 0, false);
     loop {
         let mut line = String::new();
         stream.read_line(&mut line).ok()?;
@@ -112,20 +114,21 @@
         if line.is_empty() {
             break;
         }
-        keeps &= line != "connection: close";
+        keep_alive &= line != "connection: close";
         chunked |= line == "transfer-encoding: chunked";
         if let Some(n) = line.strip_prefix("content-length: ") {
             length = n.parse().ok()?;
         }
     }
-    let (body, whole) = if chunked { read_chunks(stream) } else { read_length(stream, length) };
-    Some(Answer { status, keeps, body, whole })
+    let (body, is_complete) =
+        if chunked { read_chunks(stream) } else { read_length(stream, length) };
+    Some(Response { status, keep_alive, body, is_complete })
 }
 
 fn read_length(stream: &mut impl Read, length: usize) -> (String, bool) {
     let mut body = vec![0; length];
-    let whole = stream.read_exact(&mut body).is_ok();
-    (String::from_utf8_lossy(&body).into_owned(), whole)
+    let is_complete = stream.read_exact(&mut body).is_ok();
+    (String::from_utf8_lossy(&body).into_owned(), is_complete)
 }
 
 fn read_chunks(stream: &mut BufReader<TcpStream>) -> (String, bool) {
@@ -134,9 +137,9 @@
         let mut line = String::new();
         let read = stream.read_line(&mut line);
         let Ok(length) = usize::from_str_radix(line.trim_end(), 16) else { return (body, false) };
-        // The line break after a chunk is part of what is read.
-        let (chunk, whole) = read_length(stream, length + 2);
-        if read.is_err() || !whole {
+        // The line break after a chunk is read together with the chunk.
+        let (chunk, is_complete) = read_length(stream, length + 2);
+        if read.is_err() || !is_complete {
             return (body, false);
         }
         if length == 0 {
--- a/crates/tansyknotd/tests/soak/leave.rs
+++ b/crates/tansyknotd/tests/soak/leave.rs
@@ -1,5 +1,5 @@
-//! Targets that go without a word while daemons end, freeze and lose the store: nobody takes them
-//! for ready after.
+//! Targets are removed without a signal while daemons end, pause and lose the store. Afterwards no daemon
+//! may send requests to them.
 
 use std::{
     thread,
@@ -12,79 +12,83 @@
 
 use crate::{
     client,
-    proxy::Weather,
-    world::{Daemon, End, World},
+    proxy::PathState,
+    world::{Daemon, StopMode, World},
 };
 
-/// Targets that come and go in one run.
-const ROUNDS: usize = 12;
-/// Every daemon knows the list this long after the last fault.
-const CAUGHT_UP: Duration = Duration::from_secs(20);
-/// Requests to each daemon at the end. With one target too many among three, as many miss it once
-/// in 130 runs.
-const ASKED: usize = 12;
+/// Number of targets that are added and removed in one run.
+const TARGET_COUNT: usize = 12;
+/// Every daemon must have the current list within this time after the last fault.
+const LIST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Requests to each daemon at the end. If a daemon lists two targets and one removed target, all of
+/// these requests miss the removed target once in 130 runs.
+const REQUESTS_PER_DAEMON: usize = 12;
 
-/// Lets targets come and go before so many daemons; returns what broke.
+/// Adds and removes targets in front of a number of daemons; returns the violations.
 pub(crate) fn run(seed: u64, daemons: u64) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let world = World::start_with(seed, daemons);
-    let mut gone: Vec<Runner> = Vec::new();
+    let mut removed: Vec<Runner> = Vec::new();
     thread::scope(|scope| {
-        for round in 0..ROUNDS {
+        for round in 0..TARGET_COUNT {
             let next = Runner::start(&world.store, PLAIN, &format!("i-l{round}"), &[]);
             for daemon in &world.daemons {
                 let seed = rng.random();
-                scope.spawn(move || strike(daemon, &mut StdRng::seed_from_u64(seed)));
+                scope.spawn(move || inject_fault(daemon, &mut StdRng::seed_from_u64(seed)));
             }
             thread::sleep(Duration::from_millis(rng.random_range(50..900)));
-            if let Some(before) = gone.last() {
+            if let Some(before) = removed.last() {
                 world.store.remove("servers", &before.id);
             }
-            gone.push(next);
+            removed.push(next);
             thread::sleep(Duration::from_millis(rng.random_range(50..900)));
         }
     });
-    world.mend();
-    gone.iter().for_each(|runner| world.store.remove("servers", &runner.id));
-    // Those that never go are in every view, so that any other one makes too many.
+    world.end_faults();
+    removed.iter().for_each(|runner| world.store.remove("servers", &runner.id));
+    // The runners of the world are never removed and always listed, so a higher count means that a
+    // removed target is still listed.
     let listed = world.runners.len();
-    let until = Instant::now() + CAUGHT_UP;
-    let knows = |d: &Daemon| d.shows("tansyknot_targets", listed as u64, until);
-    let behind = world.daemons.iter().enumerate().filter(|(_, d)| !knows(d));
-    let mut broken: Vec<String> =
-        behind.map(|(n, _)| format!("daemon {n} does not know {listed} targets")).collect();
-    broken.extend(ask_all(&world, &gone));
-    broken
+    let until = Instant::now() + LIST_TIMEOUT;
+    let has_current_list =
+        |d: &Daemon| d.wait_for_metric("tansyknot_targets", listed as u64, until);
+    let outdated = world.daemons.iter().enumerate().filter(|(_, d)| !has_current_list(d));
+    let mut violations: Vec<String> = outdated
+        .map(|(n, _)| format!("daemon {n} does not list exactly {listed} targets"))
+        .collect();
+    violations.extend(send_to_all(&world, &removed));
+    violations
 }
 
-/// Disturbs a daemon, or leaves it alone.
-pub(crate) fn strike(daemon: &Daemon, rng: &mut StdRng) {
-    let span = Duration::from_millis(rng.random_range(100..2_500));
+/// Injects a random fault into a daemon, or none.
+pub(crate) fn inject_fault(daemon: &Daemon, rng: &mut StdRng) {
+    let duration = Duration::from_millis(rng.random_range(100..2_500));
     match rng.random_range(0..8) {
-        0 | 1 => daemon.restart(End::Kill),
-        2 => daemon.pause(span),
+        0 | 1 => daemon.restart(StopMode::Kill),
+        2 => daemon.pause(duration),
         3 => {
-            daemon.store_path.set(Weather::any(rng));
-            thread::sleep(span);
-            daemon.store_path.set(Weather::Fair);
+            daemon.store_path.set(PathState::random(rng));
+            thread::sleep(duration);
+            daemon.store_path.set(PathState::Open);
         }
-        4 => daemon.store_path.set(Weather::Slow(span / 10)),
+        4 => daemon.store_path.set(PathState::Delayed(duration / 10)),
         5 => daemon.signal(Signal::CONT),
         _ => {}
     }
 }
 
-/// Asks every daemon; returns which targets that have gone ran such a request.
-fn ask_all(world: &World, gone: &[Runner]) -> Vec<String> {
+/// Sends requests to every daemon; returns which removed targets ran one of them.
+fn send_to_all(world: &World, removed: &[Runner]) -> Vec<String> {
     for (n, daemon) in world.daemons.iter().enumerate() {
-        for k in 0..ASKED {
+        for k in 0..REQUESTS_PER_DAEMON {
             let stream = client::connect(daemon.callers());
-            stream
-                .and_then(|mut s| client::ask(&mut s, "/lookup/", &format!("after-{n}-{k}"), None));
+            stream.and_then(|mut s| {
+                client::send(&mut s, "/lookup/", &format!("after-{n}-{k}"), None)
+            });
         }
     }
     let ran =
         |r: &Runner| r.executed_requests().into_iter().find(|ran| ran.id.starts_with("after-"));
-    let late = gone.iter().filter_map(|r| Some((r.id.clone(), ran(r)?.id)));
-    late.map(|(runner, id)| format!("{runner} ran {id} after it had gone")).collect()
+    let late = removed.iter().filter_map(|r| Some((r.id.clone(), ran(r)?.id)));
+    late.map(|(runner, id)| format!("{runner} ran {id} after its removal")).collect()
 }
--- a/crates/tansyknotd/tests/soak/main.rs
+++ b/crates/tansyknotd/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! Randomized faults against real daemons, checked from what callers and runners see.
+//! Randomized faults against real daemons, checked from what callers and runners observe.
 //!
-//! CI runs a few seeds. By hand: `SOAK_SEEDS=1..51 cargo test -p tansyknotd --test soak -- --nocapture`;
-//! `SOAK_DAEMONS=20` sets how many processes the targets come and go before.
-//! A seed fixes the faults and requests, not the scheduling. Seeds that ever failed stay in
-//! `failed_before`, with the cause.
+//! CI runs a few seeds. More seeds run with
+//! `SOAK_SEEDS=1..51 cargo test -p tansyknotd --test soak -- --nocapture`; `SOAK_DAEMONS=20` sets the number
+//! of daemons in the test with removed targets. A seed fixes the faults and requests, not the
+//! scheduling. Seeds that have failed stay in `failed_before`, with the cause.
 #![cfg(feature = "services")]
 
 mod backpressure;
@@ -24,80 +24,83 @@
 };
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use world::{End, World};
+use world::{StopMode, World};
 use yare::parameterized;
 
-/// How long faults strike.
-const FAULTS: Duration = Duration::from_secs(12);
-/// Callers that ask all the while.
-const CLIENTS: u64 = 6;
+/// How long faults are injected.
+const FAULT_DURATION: Duration = Duration::from_secs(12);
+/// Number of callers that send requests during the run.
+const CLIENT_COUNT: u64 = 6;
 
 fn soak(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let world = World::start(seed);
-    let broken = thread::scope(|scope| {
-        let clients: Vec<_> = (0..CLIENTS)
+    let violations = thread::scope(|scope| {
+        let clients: Vec<_> = (0..CLIENT_COUNT)
             .map(|n| {
                 let world = &world;
                 scope.spawn(move || client::run(world, seed * 100 + n))
             })
             .collect();
-        let until = Instant::now() + FAULTS;
-        let mut strikes = Vec::new();
+        let until = Instant::now() + FAULT_DURATION;
+        let mut fault_threads = Vec::new();
         while Instant::now() < until {
             thread::sleep(Duration::from_millis(rng.random_range(50..900)));
             let (world, seed) = (&world, rng.random());
-            // Faults overlap: a stop may take seconds.
-            strikes.push(scope.spawn(move || strike(world, &mut StdRng::seed_from_u64(seed))));
+            // Each fault runs on its own thread, as a stop may take seconds.
+            fault_threads
+                .push(scope.spawn(move || inject_fault(world, &mut StdRng::seed_from_u64(seed))));
         }
-        for s in strikes {
-            s.join().expect("a fault does not panic");
+        for thread in fault_threads {
+            thread.join().expect("a fault thread does not panic");
         }
-        world.mend();
-        let mut broken = check::recovery(&world);
+        world.end_faults();
+        let mut violations = check::wait_for_recovery(&world);
         world.stop_clients();
         for c in clients {
-            broken.extend(c.join().expect("a client does not panic"));
+            violations.extend(c.join().expect("a client thread does not panic"));
         }
-        broken
+        violations
     });
-    let broken = [broken, check::promises(&world)].concat();
-    assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
+    let violations = [violations, check::invariants(&world)].concat();
+    assert!(violations.is_empty(), "seed {seed}:\n{}", violations.join("\n"));
 }
 
-/// Lets one fault strike or end; faults overlap.
-fn strike(world: &World, rng: &mut StdRng) {
+/// Injects or ends one fault; faults overlap.
+fn inject_fault(world: &World, rng: &mut StdRng) {
     let daemon = &world.daemons[rng.random_range(0..world.daemons.len())];
     let runner = rng.random_range(0..world.runners.len());
     match rng.random_range(0..13) {
-        0 => daemon.restart(End::Kill),
-        1 => daemon.restart(End::Stop),
+        0 => daemon.restart(StopMode::Kill),
+        1 => daemon.restart(StopMode::Graceful),
         2 => daemon.pause(Duration::from_millis(rng.random_range(50..5_000))),
-        3 => daemon.endpoint.set_failure_mode(world::failure_mode(rng)),
-        4 => daemon.store_path.set(proxy::Weather::any(rng)),
+        3 => daemon.endpoint.set_failure_mode(world::random_failure_mode(rng)),
+        4 => daemon.store_path.set(proxy::PathState::random(rng)),
         5 => daemon.store_path.reset_all(),
-        6 | 7 => world.runners[runner].path.set(proxy::Weather::any(rng)),
+        6 | 7 => world.runners[runner].path.set(proxy::PathState::random(rng)),
         8 => world.runners[runner].path.reset_all(),
         9 | 10 => {
-            world.runners[runner].standin.queue_faults(&[world::fault(rng), world::fault(rng)]);
+            world.runners[runner]
+                .standin
+                .queue_faults(&[world::random_fault(rng), world::random_fault(rng)]);
         }
-        11 => world.runners[runner].standin.queue_order_faults(&[world::order_fault(rng)]),
+        11 => world.runners[runner].standin.queue_order_faults(&[world::random_order_fault(rng)]),
         _ => world.change_config(),
     }
 }
 
-/// Returns the seeds that were asked for, else `usual`.
-fn seeds(usual: Range<u64>) -> Range<u64> {
-    let Ok(seeds) = std::env::var("SOAK_SEEDS") else { return usual };
+/// Returns the seeds that `SOAK_SEEDS` selects, else `default`.
+fn seeds(default: Range<u64>) -> Range<u64> {
+    let Ok(seeds) = std::env::var("SOAK_SEEDS") else { return default };
     let (from, to) = seeds.split_once("..").expect("SOAK_SEEDS is FROM..TO");
     let number = |text: &str| text.parse::<u64>().expect("SOAK_SEEDS is FROM..TO");
     number(from)..number(to)
 }
 
-/// Returns how many daemons were asked for, else `usual`.
-fn daemons(usual: u64) -> u64 {
-    let Ok(daemons) = std::env::var("SOAK_DAEMONS") else { return usual };
-    daemons.parse().expect("SOAK_DAEMONS is a number")
+/// Returns the number of daemons that `SOAK_DAEMONS` sets, else `default`.
+fn daemon_count(default: u64) -> u64 {
+    let Ok(count) = std::env::var("SOAK_DAEMONS") else { return default };
+    count.parse().expect("SOAK_DAEMONS is a number")
 }
 
 #[test]
@@ -108,65 +111,66 @@
     }
 }
 
-// A daemon that asks for every version since its own does not get them over a narrow link in the
-// time of a call, however often it asks.
+// Guards against daemons that request every version since their own: over a slow link these don't
+// arrive before the timeout of the call, so that retries fail as well.
 #[test]
-fn daemons_that_were_cut_off_have_the_newest_configuration() {
+fn disconnected_daemons_catch_up_with_the_newest_configuration() {
     for seed in seeds(1..2) {
-        let broken = storm::run(seed);
-        assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
+        let violations = storm::run(seed);
+        assert!(violations.is_empty(), "seed {seed}:\n{}", violations.join("\n"));
         println!("seed {seed}: caught up");
     }
 }
 
-// Daemons took targets for ready that had gone, for good: an older answer of the store had brought
-// them back, or their planner had held the removal back and ended.
+// Guards against daemons that list removed targets forever: an older response of the store adds a
+// target again, or a planner withholds the removal and ends.
 #[test]
 fn targets_that_went_are_known_to_have_gone() {
     for seed in seeds(1..2) {
-        let broken = leave::run(seed, daemons(6));
-        assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
+        let violations = leave::run(seed, daemon_count(6));
+        assert!(violations.is_empty(), "seed {seed}:\n{}", violations.join("\n"));
         println!("seed {seed}: known");
     }
 }
 
-// Daemons handed a request that ends targets to one target after the other, for good.
+// Guards against daemons that send a poison request to one target after another without end.
 #[test]
 fn poison_request_is_stopped_under_faults() {
     for seed in seeds(1..2) {
-        let broken = crash::run(seed);
-        assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
+        let violations = crash::run(seed);
+        assert!(violations.is_empty(), "seed {seed}:\n{}", violations.join("\n"));
         println!("seed {seed}: stopped");
     }
 }
 
-// Daemons heard nothing of what targets say of themselves, and sent as much as before.
+// Guards against daemons that ignore the signals of targets and send as many requests as before.
 #[test]
-fn targets_get_what_they_have_said_they_take() {
+fn signals_of_targets_are_followed() {
     for seed in seeds(1..3) {
-        let broken = backpressure::run(seed);
-        assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
+        let violations = backpressure::run(seed);
+        assert!(violations.is_empty(), "seed {seed}:\n{}", violations.join("\n"));
         println!("seed {seed}: heard");
     }
 }
 
-// With these, daemons sent requests to a target 20 s after it had gone.
+// With these seeds daemons sent requests to a target 20 s after its removal.
 #[parameterized(
     one_daemon = { 9 },
     one_daemon_again = { 16 },
     two_daemons = { 24 },
 )]
-fn targets_that_went_were_taken_for_ready(seed: u64) {
+fn removed_targets_failed_before(seed: u64) {
     assert_eq!(leave::run(seed, 6), Vec::<String>::new());
 }
 
-// Each let two holders take turns within 3 s: a new run on the planner's host freed targets that
-// rested for the holder before, and forgot what its own earlier run had ordered.
+// With each of these seeds two lease holders sent orders to one target within 3 s: a restarted daemon
+// on the planner's host ended the cooldown of targets that the previous holder had commanded, and did
+// not keep the orders of its own earlier incarnation.
 #[parameterized(
-    rest_forgotten_over_a_restart = { 12 },
-    rest_forgotten_over_a_restart_again = { 41 },
-    rest_forgotten_over_two_restarts = { 52 },
-    rest_forgotten_by_two_milliseconds = { 58 },
+    cooldown_lost_in_a_restart = { 12 },
+    cooldown_lost_in_a_restart_again = { 41 },
+    cooldown_lost_in_two_restarts = { 52 },
+    cooldown_short_by_two_milliseconds = { 58 },
 )]
 fn failed_before(seed: u64) {
     soak(seed);
--- a/crates/tansyknotd/tests/soak/proxy.rs
+++ b/crates/tansyknotd/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, narrows, silences or resets connections.
+//! A loopback proxy that delays, throttles, blocks or resets connections.
 
 use std::{
     io::{Read, Write},
@@ -13,50 +13,50 @@
 
 use rand::{Rng, rngs::StdRng};
 
-/// Bytes that pass at once.
-const PIECE: usize = 4096;
+/// Maximum number of bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 4096;
 
-/// How a path treats what passes.
+/// How a path forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Weather {
-    /// It passes.
-    Fair,
-    /// Each piece is held back this long.
-    Slow(Duration),
-    /// Answers pass at so many bytes a second.
-    Narrow(u32),
-    /// Nothing passes in either direction.
-    Silent,
-    /// Requests pass, answers do not.
-    AnswersLost,
+pub(crate) enum PathState {
+    /// Bytes are forwarded at once.
+    Open,
+    /// Each chunk is delayed by this time.
+    Delayed(Duration),
+    /// Responses are limited to this many bytes per second.
+    Throttled(u32),
+    /// Bytes are held in both directions.
+    Blocked,
+    /// Requests are forwarded, and responses are held.
+    ResponsesHeld,
 }
 
-impl Weather {
-    pub(crate) fn any(rng: &mut StdRng) -> Self {
+impl PathState {
+    pub(crate) fn random(rng: &mut StdRng) -> Self {
         match rng.random_range(0..6) {
-            0 => Weather::Slow(Duration::from_millis(rng.random_range(5..300))),
-            1 => Weather::Silent,
-            2 => Weather::AnswersLost,
-            _ => Weather::Fair,
+            0 => PathState::Delayed(Duration::from_millis(rng.random_range(5..300))),
+            1 => PathState::Blocked,
+            2 => PathState::ResponsesHeld,
+            _ => PathState::Open,
         }
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    Request,
+    Response,
 }
 
 struct Shared {
-    weather: Mutex<Weather>,
-    /// Connections of an older epoch are reset.
+    state: Mutex<PathState>,
+    /// Connections that were opened in an older epoch are reset.
     epoch: AtomicU64,
-    /// When pieces went on that a silent path had held back.
-    healed: Mutex<Vec<Instant>>,
+    /// When chunks were released that the path had held.
+    release_times: Mutex<Vec<Instant>>,
 }
 
-/// A path to one address.
+/// A proxied path to one address.
 #[derive(Clone)]
 pub(crate) struct Path {
     pub(crate) address: SocketAddr,
@@ -64,33 +64,33 @@
 }
 
 impl Path {
-    /// Opens a path to `target`.
+    /// Opens a proxied path to `target`.
     pub(crate) fn open(target: SocketAddr) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a loopback port is free");
         let address = listener.local_addr().expect("a listener has an address");
         let shared = Arc::new(Shared {
-            weather: Mutex::new(Weather::Fair),
+            state: Mutex::new(PathState::Open),
             epoch: AtomicU64::new(0),
-            healed: Mutex::default(),
+            release_times: Mutex::default(),
         });
         let path = Self { address, shared: Arc::clone(&shared) };
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
                 if let Ok(to) = TcpStream::connect(target) {
-                    join(&shared, from, to);
+                    forward_both(&shared, from, to);
                 }
             }
         });
         path
     }
 
-    pub(crate) fn set(&self, weather: Weather) {
-        *self.shared.weather.lock().expect("no holder of the lock panics") = weather;
+    pub(crate) fn set(&self, state: PathState) {
+        *self.shared.state.lock().expect("no holder of the lock panics") = state;
     }
 
-    /// Returns when pieces went on that had been held back.
-    pub(crate) fn healed(&self) -> Vec<Instant> {
-        self.shared.healed.lock().expect("no holder of the lock panics").clone()
+    /// Returns when chunks were released that the path had held.
+    pub(crate) fn release_times(&self) -> Vec<Instant> {
+        self.shared.release_times.lock().expect("no holder of the lock panics").clone()
     }
 
     /// Resets every connection.
@@ -99,20 +99,20 @@
     }
 }
 
-fn join(shared: &Arc<Shared>, a: TcpStream, b: TcpStream) {
+fn forward_both(shared: &Arc<Shared>, a: TcpStream, b: TcpStream) {
     let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else { return };
-    let (there, back) = (Arc::clone(shared), Arc::clone(shared));
-    thread::spawn(move || pump(&there, a, b, Way::There));
-    thread::spawn(move || pump(&back, b2, a2, Way::Back));
+    let (request_shared, response_shared) = (Arc::clone(shared), Arc::clone(shared));
+    thread::spawn(move || forward(&request_shared, a, b, Direction::Request));
+    thread::spawn(move || forward(&response_shared, b2, a2, Direction::Response));
 }
 
-/// Copies one direction until either side ends or the path is reset.
-fn pump(shared: &Shared, mut from: TcpStream, mut to: TcpStream, way: Way) {
+/// Forwards one direction until either side closes or the path is reset.
+fn forward(shared: &Shared, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
     let epoch = shared.epoch.load(Ordering::SeqCst);
     let is_reset = || shared.epoch.load(Ordering::SeqCst) != epoch;
-    // Looks at the weather this often while nothing comes.
+    // With no bytes to read, the epoch is checked this often.
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
-    let mut buf = [0; PIECE];
+    let mut buf = [0; CHUNK_BYTES];
     while !is_reset() {
         let n = match from.read(&mut buf) {
             Ok(0) => break,
@@ -121,38 +121,38 @@
             Err(_) => break,
         };
         let mut was_held = false;
-        while blocks(shared, way, n) && !is_reset() {
+        while apply_state(shared, direction, n) && !is_reset() {
             was_held = true;
             thread::sleep(Duration::from_millis(20));
         }
         if was_held {
-            shared.healed.lock().expect("no holder of the lock panics").push(Instant::now());
+            shared.release_times.lock().expect("no holder of the lock panics").push(Instant::now());
         }
         if is_reset() || to.write_all(&buf[..n]).is_err() {
             break;
         }
     }
-    // Either side may have closed already.
+    // Either side may already be closed.
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// Tells whether a piece of `n` bytes is held; waits for a slow path.
-fn blocks(shared: &Shared, way: Way, n: usize) -> bool {
-    let weather = *shared.weather.lock().expect("no holder of the lock panics");
-    match weather {
-        Weather::Fair => false,
-        Weather::Slow(span) => {
-            thread::sleep(span);
+/// Applies the delay of the path to a chunk of `n` bytes; returns whether the chunk is held.
+fn apply_state(shared: &Shared, direction: Direction, n: usize) -> bool {
+    let state = *shared.state.lock().expect("no holder of the lock panics");
+    match state {
+        PathState::Open => false,
+        PathState::Delayed(delay) => {
+            thread::sleep(delay);
             false
         }
-        Weather::Narrow(bytes_per_s) => {
-            if way == Way::Back {
+        PathState::Throttled(bytes_per_s) => {
+            if direction == Direction::Response {
                 thread::sleep(Duration::from_secs_f64(n as f64 / f64::from(bytes_per_s)));
             }
             false
         }
-        Weather::Silent => true,
-        Weather::AnswersLost => way == Way::Back,
+        PathState::Blocked => true,
+        PathState::ResponsesHeld => direction == Direction::Response,
     }
 }
--- a/crates/tansyknotd/tests/soak/storm.rs
+++ b/crates/tansyknotd/tests/soak/storm.rs
@@ -1,4 +1,5 @@
-//! Daemons behind narrow links that are cut off from the store while operators make many changes.
+//! Daemons behind slow links lose the connection to the store while operators change the configuration
+//! many times.
 
 use std::{
     thread,
@@ -8,43 +9,45 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use crate::{
-    proxy::Weather,
+    proxy::PathState,
     world::{Daemon, World},
 };
 
-/// Models in the document, which has some 25 kB with them.
-const MODELS: usize = 150;
-/// The links carry a document in 0.25 s, and forty in ten.
+/// Models in the configuration document, which has about 25 kB with them.
+const MODEL_COUNT: usize = 150;
+/// The bandwidth of the links. It carries one document in 0.25 s, and forty in 10 s.
 const BYTES_PER_S: u32 = 100_000;
-/// Cuts in one run.
-const CUTS: usize = 2;
-/// The newest version is in force everywhere within this long after a cut: a document takes 0.25 s,
-/// the versions of one cut ten to twenty, which no call has.
-const CAUGHT_UP: Duration = Duration::from_secs(20);
+/// Number of outages in one run.
+const OUTAGES: usize = 2;
+/// Every daemon must have the newest version within this time after an outage. One document takes
+/// 0.25 s; all versions of one outage take 10 to 20 s, which exceeds the timeout of a call.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Cuts daemons off while many changes are made; returns what broke.
+/// Disconnects daemons while many changes are made; returns the violations.
 pub(crate) fn run(seed: u64) -> Vec<String> {
     let mut rng = StdRng::seed_from_u64(seed);
     let world = World::start(seed);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for d in &world.daemons {
-        d.store_path.set(Weather::Narrow(BYTES_PER_S));
+        d.store_path.set(PathState::Throttled(BYTES_PER_S));
     }
-    for cut in 0..CUTS {
-        let cut_off: Vec<&Daemon> = world.daemons.iter().filter(|_| rng.random_bool(0.7)).collect();
-        cut_off.iter().for_each(|d| d.store_path.set(Weather::Silent));
+    for outage in 0..OUTAGES {
+        let disconnected: Vec<&Daemon> =
+            world.daemons.iter().filter(|_| rng.random_bool(0.7)).collect();
+        disconnected.iter().for_each(|d| d.store_path.set(PathState::Blocked));
         let mut newest = 0;
         for _ in 0..rng.random_range(40..80) {
-            newest = world.write_config(MODELS);
+            newest = world.write_config(MODEL_COUNT);
             thread::sleep(Duration::from_millis(rng.random_range(5..60)));
         }
-        cut_off.iter().for_each(|d| d.store_path.set(Weather::Narrow(BYTES_PER_S)));
-        let until = Instant::now() + CAUGHT_UP;
+        disconnected.iter().for_each(|d| d.store_path.set(PathState::Throttled(BYTES_PER_S)));
+        let until = Instant::now() + CATCH_UP_TIMEOUT;
         for (n, daemon) in world.daemons.iter().enumerate() {
-            if !daemon.shows("tansyknot_config_version", newest, until) {
-                broken.push(format!("cut {cut}: daemon {n} does not have version {newest}"));
+            if !daemon.wait_for_metric("tansyknot_config_version", newest, until) {
+                violations
+                    .push(format!("outage {outage}: daemon {n} does not have version {newest}"));
             }
         }
     }
-    broken
+    violations
 }
--- a/crates/tansyknotd/tests/soak/world.rs
+++ b/crates/tansyknotd/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! Daemons as processes, and the stand-ins and paths around them.
+//! Daemons as processes, with the stand-ins of the platform and the proxied paths between them.
 
 use std::{
     net::SocketAddr,
@@ -22,35 +22,35 @@
 
 use crate::{
     launch,
-    proxy::{Path, Weather},
+    proxy::{Path, PathState},
 };
 
-/// How often a figure is looked at that is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-/// Daemons in a world.
-const DAEMONS: u64 = 3;
-/// Models that an engine holds at once.
+/// How often a metric is polled while a test waits for its value.
+const METRIC_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Default number of daemons in a world.
+const DEFAULT_DAEMON_COUNT: u64 = 3;
+/// Maximum number of models that an engine loads at once.
 pub(crate) const MODELS_AT_ONCE: usize = 2;
-/// Models that callers ask for.
+/// Number of models that callers request.
 pub(crate) const MODEL_COUNT: usize = 4;
 
-/// A runner and the path that daemons take to it.
-pub(crate) struct RunnerAt {
+/// A runner and the proxied path from daemons to it.
+pub(crate) struct ProxiedRunner {
     pub(crate) standin: Runner,
     pub(crate) path: Path,
 }
 
-/// Everything of one seed.
+/// The daemons, the stand-ins and the observed outcomes of one seed.
 pub(crate) struct World {
     pub(crate) store: Store,
     pub(crate) daemons: Vec<Daemon>,
-    pub(crate) runners: Vec<RunnerAt>,
+    pub(crate) runners: Vec<ProxiedRunner>,
     pub(crate) outcomes: Mutex<Vec<Outcome>>,
-    config: AtomicU64,
-    over: AtomicBool,
+    config_version: AtomicU64,
+    clients_stopped: AtomicBool,
 }
 
-/// What a caller saw of one request.
+/// What a caller observed of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct Outcome {
     pub(crate) id: String,
@@ -58,7 +58,7 @@
     pub(crate) status: u16,
 }
 
-/// A daemon, whichever process it is now.
+/// A daemon, whose process changes with each restart.
 pub(crate) struct Daemon {
     pub(crate) endpoint: Endpoint,
     pub(crate) store_path: Path,
@@ -66,16 +66,16 @@
     callers: Mutex<SocketAddr>,
     metrics: Mutex<SocketAddr>,
     settings: PathBuf,
-    /// When it went on after a pause.
-    thawed: Mutex<Vec<Instant>>,
+    /// When the daemon resumed after a pause.
+    resume_times: Mutex<Vec<Instant>>,
 }
 
 impl World {
     pub(crate) fn start(seed: u64) -> Self {
-        Self::start_with(seed, DAEMONS)
+        Self::start_with(seed, DEFAULT_DAEMON_COUNT)
     }
 
-    /// Starts a world with so many daemons.
+    /// Starts a world with this number of daemons.
     pub(crate) fn start_with(seed: u64, daemons: u64) -> Self {
         let store = Store::new();
         configuration(1).write(&store);
@@ -85,7 +85,7 @@
             standin.set_on_disk(&["m0", "m1", "m2", "m3"]);
             standin.set_event_gap(Duration::from_millis(20));
             standin.publish_address(path.address);
-            RunnerAt { standin, path }
+            ProxiedRunner { standin, path }
         };
         let runners = vec![
             runner(MODELS, "i-e1", &["m0", "m1"]),
@@ -99,20 +99,20 @@
             daemons,
             runners,
             outcomes: Mutex::default(),
-            config: AtomicU64::new(1),
-            over: AtomicBool::new(false),
+            config_version: AtomicU64::new(1),
+            clients_stopped: AtomicBool::new(false),
         }
     }
 
     /// Ends every fault.
-    pub(crate) fn mend(&self) {
+    pub(crate) fn end_faults(&self) {
         for d in &self.daemons {
             d.endpoint.set_failure_mode(FailureMode::Normal);
-            d.store_path.set(Weather::Fair);
+            d.store_path.set(PathState::Open);
             d.signal(Signal::CONT);
         }
         for r in &self.runners {
-            r.path.set(Weather::Fair);
+            r.path.set(PathState::Open);
             r.standin.clear_faults();
         }
     }
@@ -121,22 +121,22 @@
         self.write_config(MODEL_COUNT);
     }
 
-    /// Writes the next configuration, with so many models; returns its version.
+    /// Writes the next configuration, with this number of models; returns its version.
     pub(crate) fn write_config(&self, model_count: usize) -> u64 {
-        let version = self.config.fetch_add(1, Ordering::SeqCst) + 1;
+        let version = self.config_version.fetch_add(1, Ordering::SeqCst) + 1;
         Configuration { model_count, ..configuration(version) }.write(&self.store);
         version
     }
 
     pub(crate) fn stop_clients(&self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.clients_stopped.store(true, Ordering::SeqCst);
     }
 
-    pub(crate) fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    pub(crate) fn are_clients_stopped(&self) -> bool {
+        self.clients_stopped.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn saw(&self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&self, outcome: Outcome) {
         self.outcomes.lock().expect("no holder of the lock panics").push(outcome);
     }
 }
@@ -145,7 +145,7 @@
     fn start(store: &Store, seed: u64, n: u64) -> Self {
         let endpoint = store.open_endpoint();
         let store_path = Path::open(endpoint.address);
-        let settings = launch::settings(&format!("{seed}-d{n}"), store_path.address);
+        let settings = launch::write_settings(&format!("{seed}-d{n}"), store_path.address);
         let started = launch::spawn(&settings);
         Self {
             endpoint,
@@ -154,16 +154,16 @@
             callers: Mutex::new(started.callers),
             metrics: Mutex::new(started.metrics),
             settings,
-            thawed: Mutex::default(),
+            resume_times: Mutex::default(),
         }
     }
 
-    /// Returns where it takes callers now.
+    /// Returns the current address for callers.
     pub(crate) fn callers(&self) -> SocketAddr {
         *self.callers.lock().expect("no holder of the lock panics")
     }
 
-    /// Returns where its figures are now.
+    /// Returns the current address of the metrics page.
     pub(crate) fn metrics(&self) -> SocketAddr {
         *self.metrics.lock().expect("no holder of the lock panics")
     }
@@ -173,48 +173,48 @@
         send(&child, signal);
     }
 
-    /// Freezes it for a while; other faults go on meanwhile.
-    pub(crate) fn pause(&self, span: Duration) {
+    /// Pauses the process for a time, while other faults continue.
+    pub(crate) fn pause(&self, duration: Duration) {
         self.signal(Signal::STOP);
-        thread::sleep(span.min(Duration::from_millis(2500)));
+        thread::sleep(duration.min(Duration::from_millis(2500)));
         self.signal(Signal::CONT);
-        self.thawed.lock().expect("no holder of the lock panics").push(Instant::now());
+        self.resume_times.lock().expect("no holder of the lock panics").push(Instant::now());
     }
 
-    /// Returns when it went on after a pause.
-    pub(crate) fn thawed(&self) -> Vec<Instant> {
-        self.thawed.lock().expect("no holder of the lock panics").clone()
+    /// Returns when the daemon resumed after its pauses.
+    pub(crate) fn resume_times(&self) -> Vec<Instant> {
+        self.resume_times.lock().expect("no holder of the lock panics").clone()
     }
 
-    /// Waits until a figure has this value; tells whether it has by `until`.
-    pub(crate) fn shows(&self, figure: &str, value: u64, until: Instant) -> bool {
-        let line = format!("{figure}{{of=\"daemon\"}} {value}\n");
+    /// Waits until a metric has this value; returns whether it has by `until`.
+    pub(crate) fn wait_for_metric(&self, metric: &str, value: u64, until: Instant) -> bool {
+        let line = format!("{metric}{{of=\"daemon\"}} {value}\n");
         loop {
-            if launch::figures(self.metrics()).contains(&line) {
+            if launch::metrics_page(self.metrics()).contains(&line) {
                 return true;
             }
             if Instant::now() >= until {
                 return false;
             }
-            thread::sleep(LOOK);
+            thread::sleep(METRIC_POLL_INTERVAL);
         }
     }
 
-    /// Ends it by `end` and starts it again.
+    /// Ends the process in the way of `mode` and starts a new one.
     ///
-    /// The process that is told to end is the one that is waited for: with the lock given back in
-    /// between, of two restarts at once the second waited for the process that the first had
-    /// started, which nobody had told to end.
-    pub(crate) fn restart(&self, end: End) {
+    /// The lock is held throughout, so that the process that gets the signal is the one that is waited
+    /// for. Without this, the second of two concurrent restarts waits for the process that the first has
+    /// started, which got no signal.
+    pub(crate) fn restart(&self, mode: StopMode) {
         let mut child = self.process.lock().expect("no holder of the lock panics");
-        match end {
-            End::Kill => send(&child, Signal::KILL),
-            End::Stop => {
+        match mode {
+            StopMode::Kill => send(&child, Signal::KILL),
+            StopMode::Graceful => {
                 send(&child, Signal::CONT);
                 send(&child, Signal::TERM);
             }
         }
-        child.wait().expect("it ends");
+        child.wait().expect("the process ends");
         let next = launch::spawn(&self.settings);
         *child = next.child;
         *self.callers.lock().expect("no holder of the lock panics") = next.callers;
@@ -222,16 +222,16 @@
     }
 }
 
-/// How a daemon's process ends.
+/// How the process of a daemon is stopped.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum End {
-    /// At once.
+pub(crate) enum StopMode {
+    /// Immediately, by `SIGKILL`.
     Kill,
-    /// As an operator stops it.
-    Stop,
+    /// By `SIGTERM`, as an operator stops it.
+    Graceful,
 }
 
-/// Sends a signal to a process that may have ended a moment ago.
+/// Sends a signal to a process, which may have just ended.
 fn send(child: &Child, signal: Signal) {
     let _ = rustix::process::kill_process(Pid::from_child(child), signal);
 }
@@ -239,14 +239,14 @@
 impl Drop for Daemon {
     fn drop(&mut self) {
         let mut child = self.process.lock().expect("no holder of the lock panics");
-        // It may have ended already.
+        // The process may have ended already.
         let _ = child.kill();
         let _ = child.wait();
         let _ = std::fs::remove_file(&self.settings);
     }
 }
 
-pub(crate) fn failure_mode(rng: &mut StdRng) -> FailureMode {
+pub(crate) fn random_failure_mode(rng: &mut StdRng) -> FailureMode {
     [
         FailureMode::Normal,
         FailureMode::Normal,
@@ -257,7 +257,7 @@
     ][rng.random_range(0..6)]
 }
 
-pub(crate) fn fault(rng: &mut StdRng) -> Fault {
+pub(crate) fn random_fault(rng: &mut StdRng) -> Fault {
     let all = [
         Fault::RejectsRequest,
         Fault::InternalError,
@@ -272,7 +272,7 @@
     all[rng.random_range(0..all.len())]
 }
 
-pub(crate) fn order_fault(rng: &mut StdRng) -> Fault {
+pub(crate) fn random_order_fault(rng: &mut StdRng) -> Fault {
     [Fault::DropsOrder, Fault::DropsOrderResponse][rng.random_range(0..2)]
 }
 
