--- a/crates/tansyknotd/tests/process.rs
+++ b/crates/tansyknotd/tests/process.rs
@@ -1,11 +1,11 @@
-//! Daemons as processes: kills, freezes, planned stops, an outage of the table.
+//! Daemons as processes: kills, pauses, planned stops and an outage of the table.
 
 mod support;
 
 use std::thread;
 
 use rustix::process::Signal;
-use support::{Platform, get, is_whole, post, stream};
+use support::{Platform, get, is_complete, post, request_stream};
 use tansyknot_core::{
     host::{Fencing, HostState},
     name::TargetName,
@@ -20,14 +20,14 @@
     let threads: Vec<_> = (0..30)
         .map(|i| {
             let address = callers[i % 3];
-            thread::spawn(move || stream(address, 3))
+            thread::spawn(move || request_stream(address, 3))
         })
         .collect();
     for thread in threads {
-        let answer = thread.join().expect("no panic");
-        assert!(is_whole(&answer), "{answer}");
+        let response = thread.join().expect("no thread panics");
+        assert!(is_complete(&response), "{response}");
     }
-    assert_eq!(platform.loaded(), 1);
+    assert_eq!(platform.loaded_engine_count(), 1);
     let loads: u64 = platform.engines.iter().map(|e| e.models.peaks().loads).sum();
     assert_eq!(loads, 1);
 }
@@ -36,9 +36,10 @@
 fn planned_stop_under_load_cuts_no_request() {
     let platform = Platform::new(Fencing::Checked);
     let mut daemon = platform.daemon("d0");
-    assert!(is_whole(&stream(daemon.callers, 1)));
+    assert!(is_complete(&request_stream(daemon.callers, 1)));
     let address = daemon.callers;
-    let threads: Vec<_> = (0..20).map(|_| thread::spawn(move || stream(address, 200))).collect();
+    let threads: Vec<_> =
+        (0..20).map(|_| thread::spawn(move || request_stream(address, 200))).collect();
     let running =
         || platform.engines.iter().map(|e| e.executed_requests().requests.len()).sum::<usize>();
     while running() < 21 {
@@ -46,8 +47,8 @@
     }
     daemon.signal(Signal::TERM);
     for thread in threads {
-        let answer = thread.join().expect("no panic");
-        assert!(is_whole(&answer), "a request was cut");
+        let response = thread.join().expect("no thread panics");
+        assert!(is_complete(&response), "a request was aborted");
     }
     assert_eq!(daemon.wait().code(), Some(0));
     assert!(platform.table.scan("daemon/", "", 10).is_empty());
@@ -57,9 +58,9 @@
 fn second_signal_ends_at_once_and_says_so() {
     let platform = Platform::new(Fencing::Checked);
     let mut daemon = platform.daemon("d0");
-    assert!(is_whole(&stream(daemon.callers, 1)));
+    assert!(is_complete(&request_stream(daemon.callers, 1)));
     let address = daemon.callers;
-    let cut = thread::spawn(move || stream(address, 100_000));
+    let aborted = thread::spawn(move || request_stream(address, 100_000));
     while platform.engines.iter().map(|e| e.executed_requests().requests.len()).sum::<usize>() < 2 {
         thread::yield_now();
     }
@@ -69,8 +70,8 @@
     }
     daemon.signal(Signal::TERM);
     assert_eq!(daemon.wait().code(), Some(3));
-    let answer = cut.join().expect("no panic");
-    assert!(!is_whole(&answer) && !answer.ends_with("0\r\n\r\n"));
+    let response = aborted.join().expect("no thread panics");
+    assert!(!is_complete(&response) && !response.ends_with("0\r\n\r\n"));
 }
 
 #[test]
@@ -78,33 +79,33 @@
     let platform = Platform::new(Fencing::Checked);
     let mut first = platform.daemon("d0");
     let second = platform.daemon("d1");
-    assert!(is_whole(&stream(first.callers, 1)));
+    assert!(is_complete(&request_stream(first.callers, 1)));
     first.signal(Signal::KILL);
     first.wait();
-    assert_eq!(stream(first.callers, 1), "");
-    assert!(is_whole(&stream(second.callers, 1)));
-    assert_eq!(platform.loaded(), 1);
+    assert_eq!(request_stream(first.callers, 1), "");
+    assert!(is_complete(&request_stream(second.callers, 1)));
+    assert_eq!(platform.loaded_engine_count(), 1);
 }
 
-/// The daemon dies after the target has run the call and before the caller has its answer.
+/// The daemon is killed after the target has run the call and before the caller has the response.
 #[test]
 fn call_of_a_killed_daemon_is_never_run_again() {
     let platform = Platform::new(Fencing::Checked);
     let mut first = platform.daemon("d0");
     let second = platform.daemon("d1");
-    platform.plain.faults.lock().expect("no panic").hold = true;
+    platform.plain.faults.lock().expect("no thread panics").hold = true;
     let address = first.callers;
     let call = |address| post(address, "/services/registry/x", "idempotency-key: k\r\n", "load 7");
-    let cut = thread::spawn(move || call(address));
+    let aborted = thread::spawn(move || call(address));
     while platform.plain.executions_of("load 7") == 0 {
         thread::yield_now();
     }
     first.signal(Signal::KILL);
     first.wait();
-    assert_eq!(cut.join().expect("no panic"), "");
-    platform.plain.faults.lock().expect("no panic").hold = false;
-    let answer = call(second.callers);
-    assert!(answer.contains("\"outcome\":\"unknown\""), "{answer}");
+    assert_eq!(aborted.join().expect("no thread panics"), "");
+    platform.plain.faults.lock().expect("no thread panics").hold = false;
+    let response = call(second.callers);
+    assert!(response.contains("\"outcome\":\"unknown\""), "{response}");
     assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
 
@@ -113,31 +114,31 @@
     let platform = Platform::new(Fencing::Checked);
     let first = platform.daemon("d0");
     let second = platform.daemon("d1");
-    assert!(is_whole(&stream(first.callers, 1)));
+    assert!(is_complete(&request_stream(first.callers, 1)));
     first.signal(Signal::STOP);
     for _ in 0..5 {
-        assert!(is_whole(&stream(second.callers, 1)));
+        assert!(is_complete(&request_stream(second.callers, 1)));
     }
     first.signal(Signal::CONT);
-    assert!(is_whole(&stream(first.callers, 1)));
-    assert_eq!(platform.loaded(), 1);
+    assert!(is_complete(&request_stream(first.callers, 1)));
+    assert_eq!(platform.loaded_engine_count(), 1);
 }
 
 #[test]
 fn table_away_leaves_warm_requests_and_refuses_what_needs_it() {
     let platform = Platform::new(Fencing::Checked);
     let daemon = platform.daemon("d0");
-    assert!(is_whole(&stream(daemon.callers, 1)));
-    platform.table.faults.lock().expect("no panic").down = true;
+    assert!(is_complete(&request_stream(daemon.callers, 1)));
+    platform.table.faults.lock().expect("no thread panics").down = true;
     for _ in 0..3 {
-        assert!(is_whole(&stream(daemon.callers, 1)));
+        assert!(is_complete(&request_stream(daemon.callers, 1)));
     }
     let call = || post(daemon.callers, "/services/registry/x", "idempotency-key: k\r\n", "load 7");
     let refused = call();
     assert!(refused.contains("\"code\":\"store_unavailable\""), "{refused}");
     assert!(refused.contains("\"outcome\":\"not_run\""));
     assert_eq!(platform.plain.executions_of("load 7"), 0);
-    platform.table.faults.lock().expect("no panic").down = false;
+    platform.table.faults.lock().expect("no thread panics").down = false;
     assert!(call().contains("200 OK"));
     assert_eq!(platform.plain.executions_of("load 7"), 1);
 }
@@ -146,26 +147,26 @@
 fn leaving_target_gets_no_new_request_and_finishes_its_own() {
     let platform = Platform::new(Fencing::Checked);
     let daemon = platform.daemon("d0");
-    assert!(is_whole(&stream(daemon.callers, 1)));
-    let at = platform
+    assert!(is_complete(&request_stream(daemon.callers, 1)));
+    let leaving = platform
         .engines
         .iter()
         .position(|e| !e.executed_requests().requests.is_empty())
-        .expect("one ran");
+        .expect("an engine has run the request");
     let address = daemon.callers;
-    let long = thread::spawn(move || stream(address, 300));
-    while platform.engines[at].executed_requests().requests.len() < 2 {
+    let long_request = thread::spawn(move || request_stream(address, 300));
+    while platform.engines[leaving].executed_requests().requests.len() < 2 {
         thread::yield_now();
     }
-    platform.hosts.set_state(&TargetName::new(format!("e{at}")), Some(HostState::Leaving));
-    // Requests go on; as soon as one has been served elsewhere, none goes back.
-    while platform.engines[1 - at].executed_requests().requests.is_empty() {
-        stream(daemon.callers, 1);
+    platform.hosts.set_state(&TargetName::new(format!("e{leaving}")), Some(HostState::Leaving));
+    // Requests continue; once one of them has run on the other engine, none returns to this one.
+    while platform.engines[1 - leaving].executed_requests().requests.is_empty() {
+        request_stream(daemon.callers, 1);
     }
-    let before = platform.engines[at].executed_requests().requests.len();
+    let before = platform.engines[leaving].executed_requests().requests.len();
     for _ in 0..5 {
-        assert!(is_whole(&stream(daemon.callers, 1)));
+        assert!(is_complete(&request_stream(daemon.callers, 1)));
     }
-    assert_eq!(platform.engines[at].executed_requests().requests.len(), before);
-    assert!(is_whole(&long.join().expect("no panic")));
+    assert_eq!(platform.engines[leaving].executed_requests().requests.len(), before);
+    assert!(is_complete(&long_request.join().expect("no thread panics")));
 }
--- a/crates/tansyknotd/tests/support/mod.rs
+++ b/crates/tansyknotd/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Daemons as child processes before stand-ins in this process.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Daemons as child processes, with stand-ins of the platform in the test process.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::{
     env, fs,
@@ -49,7 +49,7 @@
 services: desk=permits
 targets: pool=models
 replicas: {max: 1}
-# Without staging, so that loads can be counted.
+# Staging is off, so that loads can be counted.
 retention: {weight: idle}
 requests: {deadline: 30s}
 ---
@@ -79,7 +79,7 @@
 }
 
 impl Platform {
-    /// Starts the platform with two engines, a plain service and the usual objects.
+    /// Starts the platform with two engines, a plain service and the default objects.
     pub(crate) fn new(fencing: Fencing) -> Self {
         let (table_server, table) = table::start(loopback()).expect("a port is free");
         let (hosts_server, hosts) = hosts::start(loopback()).expect("a port is free");
@@ -106,23 +106,23 @@
         }
         hosts.set(targets);
         let text = OBJECTS.replace("HASH", &objects_in_force::key_hash(KEY));
-        let objects = document::read(&text, "test").expect("the test's objects are right");
+        let objects = document::read(&text, "test").expect("the objects of the tests are valid");
         let ops: Vec<ObjectChange> = objects.into_iter().map(ObjectChange::Put).collect();
         let author = Author { name: "test".to_owned(), at_ms: 0 };
         let fake = FakeTable::with_state(&table);
-        config::apply(&fake, 0, &ops, &author).expect("nobody races");
+        config::apply(&fake, 0, &ops, &author).expect("no other author writes the configuration");
         Self { table, hosts, engines, plain, table_address, hosts_address, running }
     }
 
     /// Starts a daemon as a child process and waits until it is ready.
     pub(crate) fn daemon(&self, name: &str) -> DaemonProcess {
         let daemon = DaemonProcess::start(name, self.table_address, self.hosts_address);
-        daemon.await_ready();
+        daemon.wait_until_ready();
         daemon
     }
 
-    /// Returns how many engines have a model in any state.
-    pub(crate) fn loaded(&self) -> usize {
+    /// Returns the number of engines that have a model in any state.
+    pub(crate) fn loaded_engine_count(&self) -> usize {
         self.engines.iter().filter(|e| !e.models.status().models.is_empty()).count()
     }
 }
@@ -163,27 +163,28 @@
         );
         let file = format!("tansyknotd-{}-{}-{name}.yaml", std::process::id(), table.port());
         let settings = env::temp_dir().join(file);
-        fs::write(&settings, text).expect("the temporary folder takes files");
+        fs::write(&settings, text).expect("the temporary directory is writable");
         let mut child = Command::new(env!("CARGO_BIN_EXE_tansyknotd"))
             .arg("--settings")
             .arg(&settings)
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the binary was built");
-        let mut lines = BufReader::new(child.stderr.take().expect("it is piped")).lines();
+            .expect("the daemon's binary can be started");
+        let mut lines =
+            BufReader::new(child.stderr.take().expect("standard error is piped")).lines();
         let started = lines
             .by_ref()
             .map_while(Result::ok)
             .find(|line| line.contains("1001"))
-            .expect("the daemon says that it has started");
-        // The pipe must be read to the end, or the daemon would wait for room in it.
+            .expect("the daemon logs that it has started");
+        // The pipe must be read to the end: a full pipe would block the daemon.
         thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
-        let callers = field(&started, "callers").parse().expect("it is an address");
+        let callers = field(&started, "callers").parse().expect("the field is an address");
         Self { child, callers, settings }
     }
 
-    fn await_ready(&self) {
+    fn wait_until_ready(&self) {
         while !get(self.callers, "/healthz").contains("200 OK") {
             thread::yield_now();
         }
@@ -191,11 +192,11 @@
 
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.child);
-        rustix::process::kill_process(pid, signal).expect("the child is this process's own");
+        rustix::process::kill_process(pid, signal).expect("the child has not been waited for");
     }
 
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("the child is this process's own")
+        self.child.wait().expect("the process is a child of this one")
     }
 }
 
@@ -209,22 +210,23 @@
 
 /// Returns a field of a JSON log line.
 fn field(line: &str, name: &str) -> String {
-    let start = line.find(&format!("\"{name}\":\"")).expect("the field is there") + name.len() + 4;
+    let start =
+        line.find(&format!("\"{name}\":\"")).expect("the line has the field") + name.len() + 4;
     let rest = &line[start..];
-    rest[..rest.find('"').expect("the text ends")].to_owned()
+    rest[..rest.find('"').expect("the field has a closing quote")].to_owned()
 }
 
 pub(crate) fn get(address: SocketAddr, path: &str) -> String {
     exchange(address, &format!("GET {path} HTTP/1.1\r\nconnection: close\r\n\r\n"))
 }
 
-/// Sends text on a connection of its own and returns all that comes back; empty if refused.
+/// Sends text on a new connection and returns the response; it is empty if the connection is refused.
 pub(crate) fn exchange(address: SocketAddr, text: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
     let _ = stream.write_all(text.as_bytes());
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 pub(crate) fn post(address: SocketAddr, path: &str, headers: &str, body: &str) -> String {
@@ -238,11 +240,11 @@
     )
 }
 
-pub(crate) fn stream(address: SocketAddr, tokens: u32) -> String {
+pub(crate) fn request_stream(address: SocketAddr, tokens: u32) -> String {
     let body = format!(r#"{{"model":"permit","stream":true,"max_tokens":{tokens}}}"#);
     post(address, "/v1/chat/completions", "", &body)
 }
 
-pub(crate) fn is_whole(answer: &str) -> bool {
-    answer.contains("200 OK") && answer.contains("[DONE]") && answer.ends_with("0\r\n\r\n")
+pub(crate) fn is_complete(response: &str) -> bool {
+    response.contains("200 OK") && response.contains("[DONE]") && response.ends_with("0\r\n\r\n")
 }
