--- a/crates/tansyknot-fleet/tests/news.rs
+++ b/crates/tansyknot-fleet/tests/news.rs
@@ -1,4 +1,5 @@
-//! Following the planner's reading of the store over a network that loses datagrams.
+//! Tests how a daemon follows the planner's copy of the target list over a network that loses
+//! datagrams.
 
 mod support;
 
@@ -19,9 +20,9 @@
 };
 use yare::parameterized;
 
-const BEAT: Duration = Duration::from_millis(300);
-const PART: usize = 4;
-/// A reading of this moment.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const CHANGES_PER_PART: usize = 4;
+/// A list read of age zero.
 const FRESH: ListRead = ListRead { age: Duration::ZERO, version: 5 };
 
 fn put(n: u64) -> Change {
@@ -30,52 +31,56 @@
     Change::Put(Entry::from_target(&t))
 }
 
-/// Returns the planner's news in parts of at most `most` changes, as datagrams have them.
-fn parts(log: &mut ChangeLog, read: ListRead, most: usize, now: Time) -> Vec<ListUpdate> {
+/// Returns the planner's list update in parts of at most `max_changes` changes, as datagrams carry
+/// them.
+fn parts(log: &mut ChangeLog, read: ListRead, max_changes: usize, now: Time) -> Vec<ListUpdate> {
     let mut rest = log.changes_after(0, read, now);
     let mut parts = Vec::new();
-    while rest.changes.len() > most {
-        let next = rest.split_off(most);
+    while rest.changes.len() > max_changes {
+        let next = rest.split_off(max_changes);
         parts.push(std::mem::replace(&mut rest, next));
     }
     parts.push(rest);
     parts
 }
 
-/// Returns how long a view of the list is fresh.
-fn list_span() -> Duration {
+/// Returns how long a view of the list counts as fresh.
+fn max_list_age() -> Duration {
     FreshnessLimits::default().max_list_age
 }
 
 #[test]
-fn follower_begins_with_a_call_of_its_own() {
+fn follower_is_not_fresh_before_its_own_store_call() {
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
     log.add(put(1), 1, now);
-    for part in parts(&mut log, FRESH, PART, now) {
+    for part in parts(&mut log, FRESH, CHANGES_PER_PART, now) {
         assert!(f.apply_list_update(1, part, now).is_empty());
     }
     assert!(f.list_fresh_for(now).is_zero());
     let mark = f.call_mark();
     f.record_call(mark, 0);
-    for part in parts(&mut log, FRESH, PART, now) {
-        assert!(f.apply_list_update(1, part, now).is_empty(), "the call has shown it already");
+    for part in parts(&mut log, FRESH, CHANGES_PER_PART, now) {
+        assert!(f.apply_list_update(1, part, now).is_empty(), "the store call covered this change");
     }
-    assert_eq!(f.list_fresh_for(now), list_span());
+    assert_eq!(f.list_fresh_for(now), max_list_age());
 }
 
 #[test]
-fn new_planner_is_followed_from_a_new_call() {
+fn new_planner_is_followed_only_after_a_new_store_call() {
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
-    let news = parts(&mut log, FRESH, PART, now);
-    f.apply_list_update(1, news[0].clone(), now);
+    let updates = parts(&mut log, FRESH, CHANGES_PER_PART, now);
+    f.apply_list_update(1, updates[0].clone(), now);
     let mark = f.call_mark();
-    f.apply_list_update(2, news[0].clone(), now);
+    f.apply_list_update(2, updates[0].clone(), now);
     f.record_call(mark, 0);
-    assert!(f.list_fresh_for(now).is_zero(), "the call began before this planner was known");
+    assert!(
+        f.list_fresh_for(now).is_zero(),
+        "the store call began before the new planner's first update"
+    );
 }
 
 #[test]
@@ -83,67 +88,70 @@
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
-    let fresh = parts(&mut log, FRESH, PART, now);
+    let fresh = parts(&mut log, FRESH, CHANGES_PER_PART, now);
     f.apply_list_update(1, fresh[0].clone(), now);
     let mark = f.call_mark();
     f.record_call(mark, 0);
-    let stale = parts(&mut log, ListRead { age: list_span(), version: 5 }, PART, now);
+    let stale =
+        parts(&mut log, ListRead { age: max_list_age(), version: 5 }, CHANGES_PER_PART, now);
     f.apply_list_update(1, stale[0].clone(), now);
-    assert!(f.list_fresh_for(now + list_span()).is_zero());
+    assert!(f.list_fresh_for(now + max_list_age()).is_zero());
 }
 
 #[test]
-fn change_that_is_late_causes_no_call_at_once() {
+fn late_change_causes_no_immediate_store_call() {
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
-    f.apply_list_update(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
+    f.apply_list_update(1, parts(&mut log, FRESH, CHANGES_PER_PART, now)[0].clone(), now);
     let mark = f.call_mark();
     f.record_call(mark, 0);
-    f.apply_list_update(1, parts(&mut log, FRESH, PART, now)[0].clone(), now);
+    f.apply_list_update(1, parts(&mut log, FRESH, CHANGES_PER_PART, now)[0].clone(), now);
     for n in 1..=7 {
         log.add(put(n), n, now);
     }
-    let told = parts(&mut log, FRESH, 3, now);
-    assert_eq!(told.len(), 3);
-    let first = f.apply_list_update(1, told[0].clone(), now + BEAT).len();
-    let third = f.apply_list_update(1, told[2].clone(), now + BEAT).len();
-    assert_eq!((first, third), (3, 1), "what has come counts at once");
-    assert_eq!(f.list_fresh_for(now + BEAT), list_span() - BEAT);
-    let again: usize =
-        told.into_iter().map(|p| f.apply_list_update(1, p, now + BEAT * 2).len()).sum();
-    assert_eq!(again, 3, "the other parts were known");
-    assert_eq!(f.list_fresh_for(now + BEAT * 2), list_span());
+    let sent = parts(&mut log, FRESH, 3, now);
+    assert_eq!(sent.len(), 3);
+    let first = f.apply_list_update(1, sent[0].clone(), now + HEARTBEAT_INTERVAL).len();
+    let third = f.apply_list_update(1, sent[2].clone(), now + HEARTBEAT_INTERVAL).len();
+    assert_eq!((first, third), (3, 1), "received changes apply at once");
+    assert_eq!(f.list_fresh_for(now + HEARTBEAT_INTERVAL), max_list_age() - HEARTBEAT_INTERVAL);
+    let applied: usize = sent
+        .into_iter()
+        .map(|p| f.apply_list_update(1, p, now + HEARTBEAT_INTERVAL * 2).len())
+        .sum();
+    assert_eq!(applied, 3, "the other parts were applied before");
+    assert_eq!(f.list_fresh_for(now + HEARTBEAT_INTERVAL * 2), max_list_age());
 }
 
 #[test]
-fn only_what_has_not_been_told_is_told_between_beats() {
+fn only_unsent_changes_are_sent_between_heartbeats() {
     let mut log = ChangeLog::default();
     let now = Time::from_millis(10_000);
     for n in 1..=6 {
         log.add(put(n), n, now);
     }
-    let news = log.changes_after(5, FRESH, now);
-    assert_eq!((news.changes.len(), news.from, news.to), (1, 5, 6));
+    let update = log.changes_after(5, FRESH, now);
+    assert_eq!((update.changes.len(), update.from, update.to), (1, 5, 6));
 }
 
-/// A planner's numbers, and what it has told last.
+/// A planner's fencing token, its change log and the number of the last change that it sent.
 struct Planner {
     fence: u64,
     log: ChangeLog,
-    told: u64,
+    last_sent: u64,
 }
 
 impl Planner {
-    /// Makes a planner that has read the list as of `version`.
+    /// Creates a planner that has read the list as of `version`.
     fn new(fence: u64, version: u64) -> Self {
         let mut log = ChangeLog::default();
         log.skip(version);
-        let told = log.last_number();
-        Self { fence, log, told }
+        let last_sent = log.last_number();
+        Self { fence, log, last_sent }
     }
 
-    /// Returns what a daemon that knows this is told in answer.
+    /// Returns the changes that the planner sends to a daemon with the received state `known`.
     fn repair(&mut self, known: ReceivedState, read: ListRead, now: Time) -> ListUpdate {
         let number = known.number.filter(|_| known.fence == self.fence);
         let after = number.or_else(|| self.log.number_at_version(known.version));
@@ -153,25 +161,25 @@
 }
 
 #[parameterized(
-    calm = { 0.0, 0.0 },
+    no_faults = { 0.0, 0.0 },
     lossy = { 0.03, 0.0 },
-    bad = { 0.3, 0.02 },
-    hopeless = { 0.9, 0.02 },
+    heavy_loss = { 0.3, 0.02 },
+    nearly_all_lost = { 0.9, 0.02 },
     planners_change = { 0.0, 0.05 },
 )]
-fn view_that_counts_as_fresh_is_what_the_planner_read(loss: f64, change_of_planner: f64) {
+fn view_that_counts_as_fresh_is_what_the_planner_read(loss: f64, planner_change_probability: f64) {
     let mut rng = StdRng::seed_from_u64(7);
-    // The next planner has followed as well as any.
+    // The next planner has received the same changes as the current one.
     let (mut planner, mut next) = (Planner::new(1, 1), Planner::new(2, 1));
     let mut f = PlannerView::default();
     let (mut truth, mut view) = (BTreeMap::new(), BTreeMap::new());
-    let (mut calls, mut changes_of_planner) = (0, 0);
+    let (mut calls, mut planner_changes) = (0, 0);
     let key = |c: &Change| match c {
         Change::Put(e) => (e.name.clone(), e.version),
         Change::Models(e) => (e.name.clone(), e.version),
         Change::Removed(removal) => (removal.name.clone(), 0),
-        Change::Override(note) => panic!("nothing notes {note:?}"),
-        Change::FullRead(read) => panic!("nothing reads {read:?}"),
+        Change::Override(update) => panic!("unexpected override: {update:?}"),
+        Change::FullRead(read) => panic!("unexpected full read: {read:?}"),
     };
     let mark = f.call_mark();
     f.record_call(mark, 1);
@@ -179,24 +187,24 @@
         let now = Time::from_millis(10_000 + round * 300);
         let version = round * 100;
         for n in 0..rng.random_range(0..6_u64) {
-            // Targets change more than once within a round, too.
+            // A target may change more than once in a round.
             let change = put(round * 10 + n * 3);
             truth.extend([key(&change)]);
             planner.log.add(change.clone(), version, now);
             next.log.add(change, version, now);
         }
-        if rng.random_bool(change_of_planner) {
+        if rng.random_bool(planner_change_probability) {
             let fence = next.fence + 1;
             planner = std::mem::replace(&mut next, Planner::new(fence, version));
-            planner.told = planner.log.last_number();
-            changes_of_planner += 1;
+            planner.last_sent = planner.log.last_number();
+            planner_changes += 1;
         }
         let read = ListRead { age: Duration::ZERO, version };
-        let told = std::mem::replace(&mut planner.told, planner.log.last_number());
-        let mut news = vec![planner.log.changes_after(told, read, now)];
-        while let Some(mut part) = news.pop() {
+        let last_sent = std::mem::replace(&mut planner.last_sent, planner.log.last_number());
+        let mut unsent = vec![planner.log.changes_after(last_sent, read, now)];
+        while let Some(mut part) = unsent.pop() {
             while part.changes.len() > 2 {
-                news.push(part.split_off(2));
+                unsent.push(part.split_off(2));
             }
             if !rng.random_bool(loss) {
                 view.extend(f.apply_list_update(planner.fence, part, now).iter().map(key));
@@ -204,24 +212,24 @@
         }
         let known = f.known(now);
         if known.missing_to.is_some() && !rng.random_bool(loss) {
-            let news = planner.repair(known, read, now);
+            let repair = planner.repair(known, read, now);
             if !rng.random_bool(loss) {
-                view.extend(f.apply_list_update(planner.fence, news, now).iter().map(key));
+                view.extend(f.apply_list_update(planner.fence, repair, now).iter().map(key));
             }
         }
-        if f.list_fresh_for(now) == list_span() {
+        if f.list_fresh_for(now) == max_list_age() {
             assert_eq!(view, truth, "round {round}");
         }
-        if f.list_fresh_for(now) < BEAT {
+        if f.list_fresh_for(now) < HEARTBEAT_INTERVAL {
             let mark = f.call_mark();
             view.clone_from(&truth);
             f.record_call(mark, version);
             calls += 1;
         }
     }
-    // Without loss no call is needed, whoever plans.
-    assert!(loss > 0.0 || calls <= 1, "{calls} calls, {changes_of_planner} changes");
-    assert!(loss > 0.03 || calls < 30, "{calls} calls");
+    // Without loss the follower needs no store call, not even when the planner changes.
+    assert!(loss > 0.0 || calls <= 1, "{calls} store calls, {planner_changes} planner changes");
+    assert!(loss > 0.03 || calls < 30, "{calls} store calls");
 }
 
 fn demand(models: usize, in_flight: usize) -> Demand {
@@ -256,25 +264,25 @@
     many_targets = { 0, 300 },
     both = { 90, 120 },
 )]
-fn long_demand_comes_in_datagrams_that_make_the_whole(models: usize, in_flight: usize) {
-    let whole = demand(models, in_flight);
-    let parts = datagram::datagrams(Message::Demand(whole.clone()));
-    let mut got = demand(0, 0);
+fn long_demand_is_split_into_datagrams_that_add_up_to_it(models: usize, in_flight: usize) {
+    let full = demand(models, in_flight);
+    let parts = datagram::datagrams(Message::Demand(full.clone()));
+    let mut received = demand(0, 0);
     for bytes in &parts {
         assert!(bytes.len() <= datagram::MAX_BYTES);
         let Some(Message::Demand(part)) = datagram::decode(bytes) else {
-            panic!("it is no demand")
+            panic!("not a demand message")
         };
-        assert_eq!(part.seq, whole.seq);
-        got.models.extend(part.models);
-        got.in_flight.extend(part.in_flight);
+        assert_eq!(part.seq, full.seq);
+        received.models.extend(part.models);
+        received.in_flight.extend(part.in_flight);
     }
-    assert_eq!(got, whole);
+    assert_eq!(received, full);
     assert!(parts.len() <= 1 + (models + in_flight) / 10, "{} datagrams", parts.len());
 }
 
-/// Returns news of as many targets with requests, one more at each.
-fn news(targets: u16) -> PlannerUpdate {
+/// Returns an update with the loads of `targets` targets, of which target `n` has `n` requests.
+fn update_with_loads(targets: u16) -> PlannerUpdate {
     let load = |n: u16| TargetLoad { target: format!("target-{n}").as_str().into(), requests: n };
     PlannerUpdate {
         fence: 1,
@@ -297,19 +305,19 @@
 }
 
 #[parameterized(
-    a_site_of_today = { 12, 12 },
-    a_grown_site = { 90, 90 },
+    small_site = { 12, 12 },
+    large_site = { 90, 90 },
     three_thousand_targets = { 3_000, 260 },
 )]
-fn fullest_targets_are_told_within_a_bound(targets: u16, told: usize) {
-    let mut news = news(targets);
-    news.trim();
-    assert_eq!(news.loads.len(), told);
-    assert_eq!(news.loads[0].requests, targets, "the fullest is among them");
+fn sent_loads_are_limited_to_the_fullest_targets(targets: u16, sent: usize) {
+    let mut update = update_with_loads(targets);
+    update.trim();
+    assert_eq!(update.loads.len(), sent);
+    assert_eq!(update.loads[0].requests, targets, "the fullest target is included");
 }
 
 #[test]
-fn nobody_joins_in_the_middle_of_news() {
+fn follower_does_not_join_in_the_middle_of_an_update() {
     let mut log = ChangeLog::default();
     log.skip(10);
     let now = Time::from_millis(10_000);
@@ -329,7 +337,7 @@
 }
 
 #[test]
-fn daemon_that_knows_less_than_a_planner_began_with_does_not_join() {
+fn daemon_with_an_older_list_than_the_planners_first_does_not_join() {
     let mut log = ChangeLog::default();
     log.skip(10);
     let now = Time::from_millis(10_000);
@@ -347,7 +355,7 @@
 }
 
 #[test]
-fn what_an_entry_holds_is_told_whole_to_who_lacks_the_entry() {
+fn model_change_is_sent_as_full_entry_to_a_daemon_without_the_entry() {
     let mut log = ChangeLog::default();
     let now = Time::from_millis(10_000);
     let entry = Entry::from_target(&target("t1", &["m0"], &[]));
@@ -355,12 +363,12 @@
     newer.version = 2;
     log.add(Change::Put(entry), 1, now);
     log.add(Entry::from_target(&newer).into_models_change(), 2, now);
-    let news = log.changes_after(0, FRESH, now);
-    assert_eq!(news.changes, vec![(2, Change::Put(Entry::from_target(&newer)))]);
+    let update = log.changes_after(0, FRESH, now);
+    assert_eq!(update.changes, vec![(2, Change::Put(Entry::from_target(&newer)))]);
 }
 
 #[test]
-fn long_news_come_in_datagrams_that_are_followed_to_the_end() {
+fn long_update_is_applied_from_all_its_datagrams() {
     let mut log = ChangeLog::default();
     let mut f = PlannerView::default();
     let now = Time::from_millis(10_000);
@@ -372,22 +380,24 @@
         t.version = n;
         log.add(Change::Put(Entry::from_target(&t)), n, now);
     }
-    let news = PlannerUpdate { list: log.changes_after(0, FRESH, now), ..news(200) };
+    let update = PlannerUpdate { list: log.changes_after(0, FRESH, now), ..update_with_loads(200) };
     let (mut changes, mut loads) = (0, 0);
-    for bytes in datagram::datagrams(Message::Update(news)) {
+    for bytes in datagram::datagrams(Message::Update(update)) {
         assert!(bytes.len() <= datagram::MAX_BYTES);
-        let Some(Message::Update(part)) = datagram::decode(&bytes) else { panic!("it is no news") };
+        let Some(Message::Update(part)) = datagram::decode(&bytes) else {
+            panic!("not a planner update")
+        };
         loads += part.loads.len();
         changes += f.apply_list_update(part.fence, part.list, now).len();
     }
     assert_eq!((changes, loads), (200, 200));
-    assert_eq!(f.list_fresh_for(now), list_span());
+    assert_eq!(f.list_fresh_for(now), max_list_age());
 }
 
 #[test]
 fn datagrams_of_other_formats_are_dropped() {
     let demand = Message::Demand(demand(0, 0));
-    let bytes = datagram::encode(&demand).expect("it is short");
+    let bytes = datagram::encode(&demand).expect("the message fits a datagram");
     assert_eq!(datagram::decode(&bytes), Some(demand));
     assert_eq!(datagram::decode(&[]), None);
     assert_eq!(datagram::decode(&[0x11, 1, 2, 3]), None);
@@ -395,7 +405,7 @@
 }
 
 #[test]
-fn change_that_comes_late_does_not_undo_a_later_one_of_its_target() {
+fn late_change_does_not_undo_a_newer_one_of_its_target() {
     let (mut log, mut f) = (ChangeLog::default(), PlannerView::default());
     let now = Time::from_millis(10_000);
     f.apply_list_update(1, log.changes_after(0, FRESH, now), now);
@@ -407,12 +417,12 @@
     let newer = log.changes_after(1, FRESH, now);
     assert_eq!(f.apply_list_update(1, newer, now).len(), 1);
     assert_eq!(f.known(now).missing_to, Some(1));
-    assert!(f.apply_list_update(1, late, now).is_empty(), "the target stays gone");
+    assert!(f.apply_list_update(1, late, now).is_empty(), "the target stays removed");
     assert!(!f.has_gap());
 }
 
 #[test]
-fn only_what_is_missing_is_told_again() {
+fn only_missing_changes_are_sent_again() {
     let (mut log, mut f) = (ChangeLog::default(), PlannerView::default());
     let now = Time::from_millis(10_000);
     f.apply_list_update(1, log.changes_after(0, FRESH, now), now);
@@ -426,15 +436,15 @@
     }
     let known = f.known(now);
     assert_eq!((known.number, known.missing_to), (Some(1), Some(3)));
-    let again = log.changes_between(1, 3, FRESH, now);
-    assert_eq!(again.changes.len(), 2);
-    f.apply_list_update(1, again, now);
+    let repair = log.changes_between(1, 3, FRESH, now);
+    assert_eq!(repair.changes.len(), 2);
+    f.apply_list_update(1, repair, now);
     assert_eq!(f.known(now).number, Some(6));
     assert!(!f.has_gap());
 }
 
 #[test]
-fn new_planner_begins_with_what_others_may_not_have_heard() {
+fn new_planner_starts_at_changes_that_others_may_lack() {
     let mut log = ChangeLog::default();
     for n in 1..=6 {
         log.add(put(n), n, Time::from_millis(10_000 + n * 1_000));
--- a/crates/tansyknot-fleet/tests/older_answers.rs
+++ b/crates/tansyknot-fleet/tests/older_answers.rs
@@ -1,17 +1,13 @@
-//! What a daemon takes in is of a version, and nothing older than what is known changes the view.
+//! Guards against an older response of the store that undoes a newer state of a daemon's view.
 //!
-//! What users saw: requests of many daemons reached targets later than the bound after the store had
-//! acknowledged that they leave.
+//! A response that the store made before a target was removed may arrive after the planner's update
+//! about the removal. Applied as it stands, it brings the target back, and requests reach the target
+//! after the time limit for its removal. In the reverse case it drops a target that was added
+//! meanwhile.
 //!
-//! Order of events, first case: a daemon asks for the list, and the answer, made before a target went,
-//! is long on its way; the planner tells meanwhile that the target has gone; then the answer comes in.
-//! Second case: the planner holds a removal back, as its own calls have failed and the entry may have
-//! lapsed with the store away, and tells the newer version all the same; then the planner changes.
-//!
-//! Cause: a version stood for more than what had been taken in or told as of it. The answer brought
-//! the target back, or nobody was told that it had gone, and the next call went on from the newer
-//! version, behind the removal. Evidence: the tests below failed on the code without the repair, as
-//! did 40 of 200 runs of `leaving.rs` (seeds 0 to 39).
+//! A planner whose own store calls failed holds a removal back, because the entry may only have
+//! expired during an outage, but it advertises the newer list version. After a change of the planner,
+//! the other daemons would continue from that version and never see the removal.
 
 mod support;
 
@@ -24,16 +20,16 @@
 
 const LEAVE_WITHIN: Duration = Duration::from_secs(2);
 const SECOND: Duration = Duration::from_secs(1);
-/// The planner: the only daemon with a good link.
+/// Index of the planner, the only daemon with a good link.
 const PLANNER: usize = 0;
-/// A daemon that follows it.
+/// Index of a daemon that follows the planner.
 const FOLLOWER: usize = 1;
 
-/// Lets three daemons start before four targets, and one follow the other.
+/// Starts three daemons with four targets, and runs until the daemons follow the planner.
 fn started() -> Network {
     let mut network = Network::new(3, 4, LEAVE_WITHIN);
     network.run(SECOND * 4);
-    let planner = network.planner().expect("there is one").address;
+    let planner = network.planner().expect("a planner is elected").address;
     assert_eq!(planner, network.nodes[PLANNER].address);
     network
 }
@@ -42,66 +38,67 @@
     TargetName::from("t0")
 }
 
-fn knows(state: &Arc<State>, name: &TargetName) -> bool {
+fn has_target(state: &Arc<State>, name: &TargetName) -> bool {
     state.fleet().target(name).is_some()
 }
 
 #[parameterized(
-    whole_list = { true },
+    full_list = { true },
     changes = { false },
 )]
-fn answer_made_before_a_target_went_does_not_bring_it_back(is_whole: bool) {
+fn answer_made_before_a_target_went_does_not_bring_it_back(is_full: bool) {
     let mut network = started();
     network.table.put(Target { models: vec![held("m3", &[])], ..target("t0", &[], &[]) });
     let node = &mut network.nodes[FOLLOWER];
     let state = Arc::clone(&node.state);
-    if is_whole {
+    if is_full {
         node.calls.follower.request_full_read();
     }
     let call = node.calls.follower.begin();
-    let answer = node.calls.follower.request(call);
+    let response = node.calls.follower.request(call);
     network.table.remove(&t0());
     network.run(SECOND);
-    assert!(!knows(&state, &t0()), "the planner has told that it is gone");
-    network.nodes[FOLLOWER].calls.follower.end(call, answer);
-    assert!(!knows(&state, &t0()), "an older answer has brought it back");
+    assert!(!has_target(&state, &t0()), "the planner has published the removal");
+    network.nodes[FOLLOWER].calls.follower.end(call, response);
+    assert!(!has_target(&state, &t0()), "an older response has brought the target back");
     network.run(SECOND * 5);
-    assert!(!knows(&state, &t0()));
+    assert!(!has_target(&state, &t0()));
 }
 
 #[test]
-fn answer_made_before_a_target_came_does_not_drop_it() {
+fn response_made_before_a_target_was_added_does_not_drop_it() {
     let mut network = started();
     let node = &mut network.nodes[FOLLOWER];
     let state = Arc::clone(&node.state);
     node.calls.follower.request_full_read();
     let call = node.calls.follower.begin();
-    let answer = node.calls.follower.request(call);
+    let response = node.calls.follower.request(call);
     let new = target("t9", &["m0"], &[]);
     network.table.put(new.clone());
     network.run(SECOND);
-    assert!(knows(&state, &new.name), "the planner has told that it is there");
-    network.nodes[FOLLOWER].calls.follower.end(call, answer);
-    assert!(knows(&state, &new.name), "an older answer has dropped it");
+    assert!(has_target(&state, &new.name), "the planner has published the new target");
+    network.nodes[FOLLOWER].calls.follower.end(call, response);
+    assert!(has_target(&state, &new.name), "an older response has dropped the target");
     network.run(SECOND * 5);
-    assert!(knows(&state, &new.name));
+    assert!(has_target(&state, &new.name));
 }
 
 #[test]
 fn removal_that_a_planner_held_back_is_found_under_the_next_one() {
     let mut network = started();
     let planner = Arc::clone(&network.nodes[PLANNER].state);
-    // Its calls failed for a while, so that it takes the store for having been away.
+    // The planner's store calls failed for a while, so it assumes that the store was unavailable.
     planner.fleet().store_returned(planner.now(), planner.now());
     network.table.remove(&t0());
-    // It goes on to tell of what comes after.
+    // The planner still publishes later changes.
     network.run(SECOND / 2);
     network.table.put(target("t9", &["m0"], &[]));
     network.run(SECOND);
-    assert!(knows(&planner, &t0()), "it may have lapsed");
-    // Its next run knows nothing of it.
+    assert!(has_target(&planner, &t0()), "the entry may only have expired");
+    // The restarted daemon does not have the retained entry.
     network.restart(PLANNER);
     network.run(SECOND * 5);
-    let with_it: Vec<usize> = (0..3).filter(|n| knows(&network.nodes[*n].state, &t0())).collect();
-    assert!(with_it.is_empty(), "daemons {with_it:?} still know it");
+    let listing: Vec<usize> =
+        (0..3).filter(|n| has_target(&network.nodes[*n].state, &t0())).collect();
+    assert!(listing.is_empty(), "daemons {listing:?} still list the removed target");
 }
