--- a/crates/tansyknot-fleet/tests/signals.rs
+++ b/crates/tansyknot-fleet/tests/signals.rs
@@ -1,5 +1,6 @@
-//! Targets get what they have said they take, and others are used, however words, entries, daemons and
-//! planners come and go: runs drawn from seeds, in virtual time.
+//! Tests that targets get only the requests that their signals allow, and that other targets are used,
+//! while signals, entries, daemons and planners come and go. The runs are drawn from seeds and use
+//! virtual time.
 
 mod support;
 
@@ -8,14 +9,14 @@
 use support::signals::{Simulation, Troubles};
 use yare::parameterized;
 
-/// Daemons of the users' sites.
-const FEW: usize = 7;
-const MANY: usize = 77;
-const MOST: usize = 295;
-const SPAN: Duration = Duration::from_secs(40);
-const SHORT_SPAN: Duration = Duration::from_secs(14);
-/// The share of a limit that is used at least where more requests come and nothing goes wrong.
-const USED_LEAST: f64 = 0.9;
+/// Number of daemons of a small site.
+const SMALL_SITE: usize = 7;
+const LARGE_SITE: usize = 77;
+const LARGEST_SITE: usize = 295;
+const DURATION: Duration = Duration::from_secs(40);
+const SHORT_DURATION: Duration = Duration::from_secs(14);
+/// Minimum share of a limit that is used while more requests arrive and no fault occurs.
+const MIN_LIMIT_USE: f64 = 0.9;
 
 const CALM: Troubles = Troubles {
     limits: 0.1,
@@ -32,14 +33,14 @@
     loss: 0.0,
     jitter: 10,
 };
-const OFTEN: Troubles = Troubles { limits: 0.3, ..CALM };
+const FREQUENT_LIMITS: Troubles = Troubles { limits: 0.3, ..CALM };
 const ENTRIES: Troubles = Troubles { entries: 1.5, garbled: 0.1, runs: 0.1, ..CALM };
-const LEAVES: Troubles = Troubles { leaves: 0.4, entries: 1.0, garbled: 0.1, ..CALM };
-const RESTS: Troubles = Troubles { rests: 0.4, entries: 1.0, ..CALM };
+const LEAVING: Troubles = Troubles { leaves: 0.4, entries: 1.0, garbled: 0.1, ..CALM };
+const RETRY_DELAYS: Troubles = Troubles { rests: 0.4, entries: 1.0, ..CALM };
 const LOSSES: Troubles = Troubles { loss: 0.2, jitter: 120, ..CALM };
 const DAEMONS: Troubles = Troubles { daemons: 0.6, cuts: 0.2, ..CALM };
 const PLANNERS: Troubles = Troubles { planner: 0.2, ..CALM };
-const AWAY: Troubles = Troubles { store: 0.08, ..CALM };
+const STORE_OUTAGES: Troubles = Troubles { store: 0.08, ..CALM };
 const ALL: Troubles = Troubles {
     limits: 0.3,
     leaves: 0.2,
@@ -54,13 +55,13 @@
     ..ENTRIES
 };
 
-fn search(usual: u64, daemons: usize, troubles: Troubles, span: Duration) -> f64 {
+fn search(default_seeds: u64, daemons: usize, troubles: Troubles, duration: Duration) -> f64 {
     let mut broken = Vec::new();
     let (mut requests, mut served, mut allowed, mut used) = (0, 0, 0.0, 0);
     let mut fullest: f64 = 0.0;
-    for seed in support::seeds("SIGNALS_SEEDS", usual) {
-        let result = Simulation::new(seed, daemons, troubles).run(span);
-        broken.extend(result.broken.iter().map(|what| format!("seed {seed}: {what}")));
+    for seed in support::seeds("SIGNALS_SEEDS", default_seeds) {
+        let result = Simulation::new(seed, daemons, troubles).run(duration);
+        broken.extend(result.broken.iter().map(|violation| format!("seed {seed}: {violation}")));
         requests += result.requests;
         served += result.served;
         allowed += result.allowed;
@@ -76,40 +77,41 @@
 }
 
 #[parameterized(
-    calm = { FEW, CALM, SPAN },
-    many_calm = { MANY, OFTEN, SHORT_SPAN },
-    most_calm = { MOST, OFTEN, SHORT_SPAN },
+    calm = { SMALL_SITE, CALM, DURATION },
+    many_calm = { LARGE_SITE, FREQUENT_LIMITS, SHORT_DURATION },
+    most_calm = { LARGEST_SITE, FREQUENT_LIMITS, SHORT_DURATION },
 )]
-fn limits_are_kept_and_used(daemons: usize, troubles: Troubles, span: Duration) {
-    let used = search(if daemons == FEW { 6 } else { 2 }, daemons, troubles, span);
-    assert!(used >= USED_LEAST, "{used:.2} of the limits used");
+fn limits_are_kept_and_used(daemons: usize, troubles: Troubles, duration: Duration) {
+    let used = search(if daemons == SMALL_SITE { 6 } else { 2 }, daemons, troubles, duration);
+    assert!(used >= MIN_LIMIT_USE, "{used:.2} of the limits used");
 }
 
 #[parameterized(
-    entries = { FEW, ENTRIES, SPAN },
-    leaves = { FEW, LEAVES, SPAN },
-    rests = { FEW, RESTS, SPAN },
-    losses = { FEW, LOSSES, SPAN },
-    daemons_that_fail = { FEW, DAEMONS, SPAN },
-    planners_that_fail = { FEW, PLANNERS, SPAN },
-    store_away = { FEW, AWAY, SPAN },
-    all = { FEW, ALL, SPAN },
-    many_all = { MANY, ALL, SHORT_SPAN },
-    most_all = { MOST, ALL, SHORT_SPAN },
+    entries = { SMALL_SITE, ENTRIES, DURATION },
+    leaves = { SMALL_SITE, LEAVING, DURATION },
+    rests = { SMALL_SITE, RETRY_DELAYS, DURATION },
+    losses = { SMALL_SITE, LOSSES, DURATION },
+    daemons_that_fail = { SMALL_SITE, DAEMONS, DURATION },
+    planners_that_fail = { SMALL_SITE, PLANNERS, DURATION },
+    store_outages = { SMALL_SITE, STORE_OUTAGES, DURATION },
+    all = { SMALL_SITE, ALL, DURATION },
+    many_all = { LARGE_SITE, ALL, SHORT_DURATION },
+    most_all = { LARGEST_SITE, ALL, SHORT_DURATION },
 )]
-fn words_are_kept_under_faults(daemons: usize, troubles: Troubles, span: Duration) {
-    search(if daemons == FEW { 6 } else { 1 }, daemons, troubles, span);
+fn words_are_kept_under_faults(daemons: usize, troubles: Troubles, duration: Duration) {
+    search(if daemons == SMALL_SITE { 6 } else { 1 }, daemons, troubles, duration);
 }
 
-// Without a planner two daemons decided about one target, each for those that took it for the one that
-// does, and the end of a limit was told to a planner that had gone, or not to one that had just come.
+// Seeds that found faults. Without a planner, two daemons decided about the permits of one target, each
+// for the daemons that considered it responsible. The end of a limit was sent to a planner that had
+// stopped, or was not sent to one that had just started.
 #[parameterized(
-    two_that_decide = { 9 },
-    two_that_decide_again = { 57 },
-    told_to_a_planner_that_had_gone = { 37 },
-    not_told_to_a_new_planner = { 144 },
+    two_schedulers = { 9 },
+    two_schedulers_again = { 57 },
+    sent_to_a_planner_that_had_stopped = { 37 },
+    not_sent_to_a_new_planner = { 144 },
 )]
 fn failed_before(seed: u64) {
-    let result = Simulation::new(seed, FEW, ALL).run(SPAN);
+    let result = Simulation::new(seed, SMALL_SITE, ALL).run(DURATION);
     assert_eq!(result.broken, Vec::<String>::new());
 }
