--- a/crates/tansyknot-fleet/tests/plan.rs
+++ b/crates/tansyknot-fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What the planner orders for which demand.
+//! Tests which orders the planner gives for which demand.
 
 mod support;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn least_asked_for_model_makes_way() {
+fn least_requested_model_is_evicted() {
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
     rig.hear(&[wants("m0", None, 0, 1), wants("m1", None, 0, 1), wants("m2", None, 0, 1)], vec![]);
     rig.hear(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn model_in_use_does_not_make_way() {
+fn model_in_use_is_not_evicted() {
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
     let in_flight = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
     rig.hear(&[wants("m5", None, 1, 1)], in_flight);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn model_that_was_loaded_stays_until_a_request_has_been_seen_there() {
+fn loaded_model_is_not_evicted_before_its_first_request() {
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1"], &["m5", "m6"])]);
     rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 1), busy("t1", "m1", 1)]);
     assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
@@ -63,18 +63,18 @@
     rig.targets[0] = Arc::new(target("t1", &["m0", "m1", "m5"], &["m5", "m6"]));
 
     let others = || vec![busy("t1", "m0", 1), busy("t1", "m1", 1)];
-    let waits = [wants("m5", None, 0, 1), wants("m6", None, 1, 1)];
-    rig.hear(&waits, others());
-    assert!(rig.plan().is_empty(), "who waited for it may not have heard of it");
+    let demand = [wants("m5", None, 0, 1), wants("m6", None, 1, 1)];
+    rig.hear(&demand, others());
+    assert!(rig.plan().is_empty(), "waiting daemons may not have received the load yet");
     let with_its_request = [others(), vec![busy("t1", "m5", 1)]].concat();
-    rig.hear(&waits, with_its_request);
-    assert!(rig.plan().is_empty(), "it is in use");
-    rig.hear(&waits, others());
+    rig.hear(&demand, with_its_request);
+    assert!(rig.plan().is_empty(), "m5 is in use");
+    rig.hear(&demand, others());
     assert_eq!(orders(&rig.plan()), ["t1 -m5", "t1 +m6"]);
 }
 
 #[test]
-fn target_whose_models_are_in_use_for_a_moment_is_waited_for_in_place_of_the_weight_store() {
+fn briefly_busy_target_is_preferred_to_the_weight_store() {
     let near = target("t1", &["m0", "m1", "m2"], &["m5"]);
     let mut rig = Rig::new(vec![near, target("t2", &[], &[])]);
     let in_use = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
@@ -86,7 +86,8 @@
 
 #[test]
 fn target_that_loads_all_the_time_is_not_blocked_by_a_load_from_the_weight_store() {
-    // Both are free; the first has been loading twice a second, and a load from afar takes six.
+    // Both targets are free. t1 has loaded two models per second, and a load from the weight store takes
+    // 6 s.
     let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"]), target("t2", &["m0"], &[])]);
     for n in 0..6 {
         let (model, other) = if n % 2 == 0 { ("m5", "m6") } else { ("m6", "m5") };
@@ -96,22 +97,22 @@
         rig.now = rig.now + std::time::Duration::from_millis(500);
     }
     rig.hear(&[wants("m7", None, 1, 1), wants("m6", None, 0, 6)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t2 +m7"], "t1 is named first and as free as t2");
+    assert_eq!(orders(&rig.plan()), ["t2 +m7"], "t1 comes first in the list and is as free as t2");
 }
 
 #[test]
-fn target_that_is_about_to_be_done_is_waited_for() {
+fn target_that_soon_finishes_its_load_is_waited_for() {
     let near = target("t1", &[], &["m5", "m6"]);
     let mut rig = Rig::new(vec![near, target("t2", &[], &[])]);
     rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m5"], "the other one is not loaded from afar");
+    assert_eq!(orders(&rig.plan()), ["t1 +m5"], "m6 is not loaded from the weight store");
 }
 
 #[parameterized(
     one_large = { 5, &["t1 -m1", "t1 +m5"] },
     two_small = { 20, &["t1 -m8", "t1 -m9", "t1 +m5"] },
 )]
-fn models_that_lose_least_together_make_way(arrivals_of_large: u32, expected: &[&str]) {
+fn set_of_models_with_the_least_demand_is_evicted(arrivals_of_large: u32, expected: &[&str]) {
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m8", "m9"], &["m5"])]);
     rig.hear(&["m0", "m1", "m8", "m9"].map(|m| wants(m, None, 0, 1)), Vec::new());
     let large = [wants("m0", None, 0, 30), wants("m1", None, 0, arrivals_of_large)];
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn late_requests_do_not_make_a_new_one_for_their_model_late() {
+fn late_requests_do_not_delay_a_new_one_for_their_model() {
     let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"])]);
     for _ in 0..4 {
         rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 5, 5)], Vec::new());
@@ -153,7 +154,7 @@
         rig.hear_of(daemon, &uses, Vec::new());
     }
     assert_eq!(rig.plan().len(), 1);
-    assert!(rig.plan().is_empty(), "the load is on its way");
+    assert!(rig.plan().is_empty(), "the load is in progress");
 }
 
 #[test]
@@ -162,7 +163,8 @@
     let uses: Vec<ModelUse> = (2..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
     rig.hear(&uses, Vec::new());
     let tasks = rig.plan();
-    let engine = catalog().engine(&ServiceName::from("s")).cloned().expect("an engine");
+    let engine =
+        catalog().engine(&ServiceName::from("s")).cloned().expect("the service has an engine");
     let mut models: BTreeSet<String> = ["m0".to_owned(), "m1".to_owned()].into();
     for step in tasks.iter().flat_map(|t| &t.steps) {
         match &step.action {
@@ -172,7 +174,7 @@
         let names: Vec<&str> = models.iter().map(String::as_str).collect();
         assert!(used_mb(&engine, &target("t1", &names, &[])) <= engine.memory_mb);
     }
-    assert_eq!(tasks.len(), 1, "one task a target at a time");
+    assert_eq!(tasks.len(), 1, "one task per target at a time");
 }
 
 #[test]
@@ -180,33 +182,34 @@
     let mut rig = Rig::new((0..10).map(|n| target(&format!("t{n}"), &[], &[])).collect());
     let uses: Vec<ModelUse> = (0..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
     rig.hear(&uses, Vec::new());
-    let mut begun = 0;
+    let mut started = 0;
     for _ in 0..10 {
         for _ in rig.plan() {
             rig.planner.count_remote_load(rig.now);
-            begun += 1;
+            started += 1;
         }
     }
-    // The platform allows 20 in 5 s; two planners in turn may each begin theirs in one window.
-    assert!((1..=10).contains(&begun), "{begun}");
+    // The platform allows 20 loads in 5 s, and two successive planners may each start theirs in one
+    // window.
+    assert!((1..=10).contains(&started), "{started}");
 }
 
 #[test]
-fn load_that_waits_for_its_target_is_announced_behind_the_one_under_way() {
+fn queued_load_is_announced_after_the_one_in_progress() {
     let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"])]);
     rig.hear(&[wants("m5", None, 2, 2), wants("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
     let due = |rig: &Rig, model: &str| {
-        let coming = rig.planner.pending_loads(rig.now);
-        coming.iter().find(|c| c.model.as_str() == model).map(|c| c.due_in_ms)
+        let pending = rig.planner.pending_loads(rig.now);
+        pending.iter().find(|c| c.model.as_str() == model).map(|c| c.due_in_ms)
     };
     let (first, second) = (due(&rig, "m5"), due(&rig, "m6"));
-    // A load from disk takes 0.8 s, and each order 0.1 s beside that.
+    // A load from disk takes 0.8 s, and each order adds 0.1 s.
     assert_eq!((first, second), (Some(900), Some(1800)));
     rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
     rig.hear(&[wants("m5", None, 0, 2), wants("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&rig.plan()), ["t1 +m6"]);
-    assert_eq!(due(&rig, "m6"), Some(900), "nothing is under way before it any more");
+    assert_eq!(due(&rig, "m6"), Some(900), "no load is in progress before it");
 }
 
 #[test]
@@ -220,17 +223,17 @@
 }
 
 #[test]
-fn model_on_a_target_that_rests_for_an_earlier_planner_is_there_and_gets_no_order() {
+fn model_on_a_target_in_cooldown_counts_as_loaded() {
     let mut rig = Rig::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
-    let (now, rests) = (rig.now, rig.now + std::time::Duration::from_secs(2));
-    let opens_at = |name: &TargetName| Some(if name.as_str() == "t1" { rests } else { now });
+    let (now, cooldown_end) = (rig.now, rig.now + std::time::Duration::from_secs(2));
+    let opens_at = |name: &TargetName| Some(if name.as_str() == "t1" { cooldown_end } else { now });
     rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
     let tasks = rig.planner.plan(&rig.targets, &opens_at, &catalog(), rig.now);
     assert_eq!(orders(&tasks), ["t2 +m6"]);
 }
 
 #[test]
-fn adapter_goes_beside_its_model_where_fewest_are() {
+fn adapter_is_loaded_where_its_model_has_fewest_adapters() {
     let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
     let mut rig = Rig::new(vec![full, target("t2", &["m0"], &[]), target("t3", &["m1"], &[])]);
     rig.hear(&[wants("m0", None, 0, 1), wants("m0", Some("a3"), 1, 1)], Vec::new());
@@ -238,7 +241,7 @@
 }
 
 #[test]
-fn adapter_without_a_place_takes_the_place_of_the_least_used() {
+fn adapter_without_a_slot_replaces_the_least_used_one() {
     let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
     let mut rig = Rig::new(vec![full]);
     rig.hear(&[wants("m0", Some("a1"), 0, 1), wants("m0", Some("a2"), 0, 1)], Vec::new());
@@ -247,14 +250,14 @@
 }
 
 #[test]
-fn model_is_loaded_for_an_adapter_that_waits() {
+fn model_is_loaded_for_a_waiting_adapter_request() {
     let mut rig = Rig::new(vec![target("t1", &[], &["m0"])]);
     rig.hear(&[wants("m0", Some("a1"), 1, 1)], Vec::new());
     assert_eq!(orders(&rig.plan()), ["t1 +m0"]);
 }
 
 #[test]
-fn daemon_that_has_fallen_silent_wants_nothing() {
+fn demand_of_an_unresponsive_daemon_is_dropped() {
     let mut rig = Rig::new(vec![target("t1", &[], &["m5"])]);
     rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 4)]);
     rig.now = rig.now + tansyknot_fleet::plan::DAEMON_TIMEOUT;
--- a/crates/tansyknot-fleet/tests/suspended.rs
+++ b/crates/tansyknot-fleet/tests/suspended.rs
@@ -1,4 +1,5 @@
-//! A daemon whose host was suspended: time passes between two of its steps, and none of its waits ends.
+//! Tests a daemon on a host that was suspended: time passes between two of its steps, but none of its
+//! waits ends.
 
 mod support;
 
@@ -7,10 +8,10 @@
 use support::{Daemon, TURN, network::Network, store::FakeStore};
 use tansyknot_core::clock::{Clock, ManualClock};
 
-const SUSPENDED: Duration = Duration::from_secs(5);
+const SUSPENSION: Duration = Duration::from_secs(5);
 
 #[test]
-fn planner_that_wakes_does_not_order_on_the_lease_of_before() {
+fn resumed_planner_does_not_order_on_its_old_lease() {
     let clock = ManualClock::new();
     clock.advance(TURN * 2);
     let daemon = Daemon::new("d", &FakeStore::new(), &clock);
@@ -19,18 +20,21 @@
         clock.advance(Duration::from_millis(50));
     }
     assert!(daemon.lease.is_valid(clock.now()));
-    clock.advance(SUSPENDED);
+    clock.advance(SUSPENSION);
     assert!(!daemon.lease.is_valid(clock.now()));
     assert!(daemon.lease.may_order(&"t".into(), clock.now()).is_none());
 }
 
 #[test]
-fn follower_that_wakes_takes_no_view_of_before_for_fresh() {
+fn resumed_follower_does_not_treat_its_old_view_as_fresh() {
     let mut network = Network::new(7, 9, Duration::from_secs(2));
     network.run(Duration::from_secs(6));
     let state = std::sync::Arc::clone(&network.nodes[3].state);
     assert!(!state.list_fresh_for(network.clock_now()).is_zero());
-    network.clock.advance(SUSPENDED);
-    assert!(state.list_fresh_for(network.clock_now()).is_zero(), "it asks the store for itself");
+    network.clock.advance(SUSPENSION);
+    assert!(
+        state.list_fresh_for(network.clock_now()).is_zero(),
+        "the follower has to read the store itself"
+    );
     assert!(state.config_fresh_for(1).is_zero());
 }
--- a/crates/tansyknot-fleet/tests/task.rs
+++ b/crates/tansyknot-fleet/tests/task.rs
@@ -1,4 +1,4 @@
-//! Orders that are lost, late, conflicting or sent without the lease.
+//! Tests orders that are lost, late or conflicting, or that would be sent without the lease.
 
 mod support;
 
@@ -28,7 +28,7 @@
     clock: ManualClock,
     daemon: Daemon,
     fake: FakeTarget,
-    orders: TaskRunner,
+    runner: TaskRunner,
     target: Target,
 }
 
@@ -39,7 +39,7 @@
     daemon.keep();
     let target = target("t", &["m0", "m1", "m2"], &["m3"]);
     let fake = FakeTarget::listed(&daemon.state, &target);
-    let orders = TaskRunner {
+    let runner = TaskRunner {
         state: Arc::clone(&daemon.state),
         keeper: Arc::clone(&daemon.keeper),
         lease: Arc::clone(&daemon.lease),
@@ -49,18 +49,18 @@
         overdue_loads: 0.into(),
         ledger: Default::default(),
     };
-    Rig { clock, daemon, fake, orders, target }
+    Rig { clock, daemon, fake, runner, target }
 }
 
 impl Rig {
-    /// Renews the lease as the daemon's own thread does meanwhile.
+    /// Renews the lease, as the daemon's own thread does between tasks.
     fn renew(&self) {
         self.clock.advance(Duration::from_secs(1));
         self.daemon.keep();
     }
 }
 
-fn exchange(target: &Target, out: &str, into: &str) -> Task {
+fn swap_task(target: &Target, out: &str, into: &str) -> Task {
     let step = |action| Step { action, expected_duration: Duration::ZERO };
     let model = |name: &str| ModelName::from(name);
     let steps = vec![
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn models_change_places_and_everyone_is_told() {
+fn models_are_swapped_and_the_view_is_updated() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert_eq!(rig.fake.models(), ["m0", "m2", "m3"]);
     let fleet = rig.daemon.state.fleet();
-    let view = fleet.target(&TargetName::from("t")).expect("it is in the view");
+    let view = fleet.target(&TargetName::from("t")).expect("the target is in the view");
     assert!(view.holds(&ModelName::from("m3"), None));
     assert!(!view.holds(&ModelName::from("m1"), None));
 }
@@ -92,15 +92,15 @@
 fn engine_never_holds_more_than_it_has_room_for(faults: &[OrderFault]) {
     let rig = rig();
     rig.fake.engine().faults.extend(faults);
-    rig.orders.run(&exchange(&rig.target, "m1", "m3"));
-    // Whatever became of the first task, the next ones start from what is true.
+    rig.runner.run(&swap_task(&rig.target, "m1", "m3"));
+    // Whatever the outcome of the first task, the next ones start from the target's actual models.
     for _ in 0..6 {
         rig.renew();
         let found = rig.daemon.state.fleet().target(&rig.target.name).cloned();
-        let view = found.expect("it is in the view");
+        let view = found.expect("the target is in the view");
         let (out, into) =
             if view.holds(&ModelName::from("m3"), None) { ("m3", "m1") } else { ("m1", "m3") };
-        rig.orders.run(&exchange(&view, out, into));
+        rig.runner.run(&swap_task(&view, out, into));
         assert!(rig.fake.engine().most_models <= 3, "{:?}", rig.fake.models());
     }
     assert!(rig.fake.models().len() <= 3);
@@ -110,11 +110,11 @@
 fn late_order_after_a_newer_one_is_void() {
     let rig = rig();
     rig.fake.engine().faults.extend([OrderFault::Late, OrderFault::Late, OrderFault::Late]);
-    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_ne!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     rig.renew();
     let found = rig.daemon.state.fleet().target(&rig.target.name).cloned();
-    let view = found.expect("it is in the view");
-    rig.orders.run(&exchange(&view, "m0", "m3"));
+    let view = found.expect("the target is in the view");
+    rig.runner.run(&swap_task(&view, "m0", "m3"));
     assert!(rig.fake.engine().most_models <= 3);
 }
 
@@ -123,7 +123,7 @@
     let rig = rig();
     rig.fake.engine().faults.push_back(OrderFault::Lost);
     let began = rig.clock.now();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert!(rig.clock.now().since(began) < Duration::from_millis(300));
     assert_eq!(rig.fake.engine().orders, 2);
 }
@@ -131,10 +131,10 @@
 #[test]
 fn task_planned_with_an_old_list_is_not_carried_out() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     rig.renew();
-    // The list is as it was before the planner's own orders, as after an outage of the store.
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m0", "m4")), TaskOutcome::Replan);
+    // The list still shows the state before the planner's own orders, as after a store outage.
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m0", "m4")), TaskOutcome::Replan);
     assert_eq!(rig.fake.models(), ["m0", "m2", "m3"]);
 }
 
@@ -146,31 +146,37 @@
         engine.models = vec![held("m0", &[]), held("m5", &[]), held("m6", &[])];
         engine.orders = 7;
     }
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Replan);
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Replan);
     assert_eq!(rig.fake.models(), ["m0", "m5", "m6"]);
     assert_eq!(rig.fake.engine().most_models, 3);
 }
 
 #[test]
-fn count_that_is_too_high_is_found_out() {
+fn too_high_order_count_is_detected() {
     let rig = rig();
-    assert_eq!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     // An order that the planner counted has not advanced the target's own count.
     rig.fake.engine().orders -= 1;
     rig.renew();
-    let view = rig.daemon.state.fleet().target(&rig.target.name).cloned().expect("in the view");
+    let view = rig
+        .daemon
+        .state
+        .fleet()
+        .target(&rig.target.name)
+        .cloned()
+        .expect("the target is in the view");
     let began = rig.clock.now();
-    assert_ne!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskOutcome::Done);
+    assert_ne!(rig.runner.run(&swap_task(&view, "m3", "m1")), TaskOutcome::Done);
     assert!(rig.clock.now().since(began) < Duration::from_millis(1200));
     rig.renew();
-    assert_eq!(rig.orders.run(&exchange(&view, "m3", "m1")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&view, "m3", "m1")), TaskOutcome::Done);
 }
 
 #[test]
 fn nothing_is_ordered_without_the_lease() {
     let rig = rig();
     rig.clock.advance(Duration::from_secs(2));
-    assert_ne!(rig.orders.run(&exchange(&rig.target, "m1", "m3")), TaskOutcome::Done);
+    assert_ne!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     assert_eq!((rig.fake.models().len(), rig.fake.engine().orders), (3, 0));
 }
 
@@ -179,31 +185,31 @@
     let rig = rig();
     rig.fake.engine().born = Some(StartTime(100));
     let target = Target { started_at: Some(StartTime(100)), ..rig.target.clone() };
-    assert_eq!(rig.orders.run(&exchange(&target, "m1", "m3")), TaskOutcome::Done);
+    assert_eq!(rig.runner.run(&swap_task(&target, "m1", "m3")), TaskOutcome::Done);
     {
         let mut engine = rig.fake.engine();
         (engine.born, engine.orders) = (Some(StartTime(200)), 0);
         engine.models.clear();
     }
     rig.renew();
-    // Planned with what the former run held: nothing is ordered.
-    let held = rig.daemon.state.fleet().target(&TargetName::from("t")).cloned();
-    let former = Target::clone(&held.expect("it is in the view"));
-    let sent = rig.orders.run(&exchange(&former, "m0", "m1"));
-    assert_ne!(sent, TaskOutcome::Done);
+    // A task that was planned with the models of the former run sends no order.
+    let found = rig.daemon.state.fleet().target(&TargetName::from("t")).cloned();
+    let former = Target::clone(&found.expect("the target is in the view"));
+    let outcome = rig.runner.run(&swap_task(&former, "m0", "m1"));
+    assert_ne!(outcome, TaskOutcome::Done);
     assert_eq!(rig.fake.engine().orders, 0);
-    // Planned with the new run, whose count begins at zero.
-    let anew =
+    // A task that was planned with the new run is carried out; the run's order count starts at zero.
+    let restarted =
         Target { started_at: Some(StartTime(200)), models: Vec::new(), version: 99, ..rig.target };
     let step = Step {
         action: Action::Load { model: ModelName::from("m1"), adapter: None },
         expected_duration: Duration::ZERO,
     };
     rig.daemon.state.fleet().apply_change(
-        tansyknot_fleet::platform_api::TargetChange::Put(Box::new(anew.clone())),
+        tansyknot_fleet::platform_api::TargetChange::Put(Box::new(restarted.clone())),
         rig.clock.now(),
     );
-    let task = Task { target: Arc::new(anew), steps: vec![step] };
-    assert_eq!(rig.orders.run(&task), TaskOutcome::Done);
+    let task = Task { target: Arc::new(restarted), steps: vec![step] };
+    assert_eq!(rig.runner.run(&task), TaskOutcome::Done);
     assert_eq!(rig.fake.models(), ["m1"]);
 }
