--- a/crates/tansyknot-fleet/tests/poison.rs
+++ b/crates/tansyknot-fleet/tests/poison.rs
@@ -1,4 +1,5 @@
-//! Which requests are suspected, convicted, cleared and forgotten, and what daemons tell of it.
+//! Tests which requests are suspected, convicted, cleared and forgotten, and which evidence daemons
+//! exchange.
 
 mod support;
 
@@ -21,14 +22,14 @@
 use yare::parameterized;
 
 const REQUEST: RequestKey = RequestKey(7);
-/// A row of the platform's store has this many bytes at most.
-const ROW_BYTES: usize = 65_536;
+/// Size limit of a row of the platform's store.
+const MAX_ROW_BYTES: usize = 65_536;
 
 fn at(ms: u64) -> Time {
     Time::default() + Duration::from_millis(ms)
 }
 
-/// Has a daemon find that a run ended under a request.
+/// Records that a run crashed while it had the request.
 fn crash(poison: &mut Poison, key: RequestKey, run: u64, now: Time) {
     if poison.cut_off(key, RunKey(run), now, now) == CheckState::Due {
         poison.record_check(RunKey(run), Presence::Ended, now);
@@ -56,7 +57,7 @@
 #[parameterized(
     three = { &[1, 2, 3], true },
     two = { &[1, 2], false },
-    one_run_again_and_again = { &[1, 1, 1, 1], false },
+    same_run_repeatedly = { &[1, 1, 1, 1], false },
 )]
 fn crashes_of_three_different_runs_convict(runs: &[u64], convicts: bool) {
     let mut poison = Poison::default();
@@ -68,7 +69,7 @@
     listening = { Presence::Listening },
     unknown = { Presence::Unknown },
 )]
-fn target_that_has_not_ended_puts_nobody_under_suspicion(presence: Presence) {
+fn running_target_leads_to_no_suspicion(presence: Presence) {
     let mut poison = Poison::default();
     for run in 0..9 {
         assert_eq!(poison.cut_off(REQUEST, RunKey(run), at(run), at(run)), CheckState::Due);
@@ -81,7 +82,7 @@
     assert_eq!((poison.is_convicted(REQUEST), poison.suspected()), (false, 0));
 }
 
-fn place() -> TargetIdentity {
+fn identity() -> TargetIdentity {
     TargetIdentity {
         name: "t1".into(),
         service: "plain".into(),
@@ -89,80 +90,82 @@
     }
 }
 
-/// Has a daemon find that a target cut a request off and somebody listens there.
-fn cut_by_listener(poison: &mut Poison, run: u64, now: Time) {
+/// Records that a target closed the request's connection early while its port still accepts
+/// connections.
+fn cut_off_while_listening(poison: &mut Poison, run: u64, now: Time) {
     assert_eq!(poison.cut_off(REQUEST, RunKey(run), now, now), CheckState::Due);
     assert_eq!(poison.record_check(RunKey(run), Presence::Listening, now), 0);
-    poison.recheck(RunKey(run), place());
+    poison.recheck(RunKey(run), identity());
 }
 
-// A port may go on accepting after the process behind it has ended. The list says so some time later.
+// A port may accept connections for a while after its process has ended; the list shows the end some
+// time later.
 #[parameterized(
-    list_says_so_late = { Presence::Gone, 5_000, true },
-    list_says_so_too_late = { Presence::Gone, 7_000, false },
-    nobody_listens_soon = { Presence::Ended, 400, true },
-    nobody_listens_much_later = { Presence::Ended, 3_000, false },
+    list_shows_end_late = { Presence::Gone, 5_000, true },
+    list_shows_end_too_late = { Presence::Gone, 7_000, false },
+    port_closes_soon = { Presence::Ended, 400, true },
+    port_closes_much_later = { Presence::Ended, 3_000, false },
 )]
-fn target_that_listens_may_turn_out_to_have_ended(presence: Presence, after: u64, convicts: bool) {
+fn listening_target_may_turn_out_to_have_crashed(presence: Presence, after: u64, convicts: bool) {
     let mut poison = Poison::default();
-    (0..3).for_each(|run| cut_by_listener(&mut poison, run, at(1)));
+    (0..3).for_each(|run| cut_off_while_listening(&mut poison, run, at(1)));
     assert!(!poison.is_convicted(REQUEST));
     (0..3).for_each(|run| _ = poison.record_check(RunKey(run), presence, at(1 + after)));
     assert_eq!(poison.is_convicted(REQUEST), convicts);
 }
 
 #[test]
-fn target_that_listens_is_looked_at_again_and_then_left() {
+fn listening_target_is_checked_again_for_a_limited_time() {
     let mut poison = Poison::default();
-    cut_by_listener(&mut poison, 1, at(0));
-    let mut looks =
+    cut_off_while_listening(&mut poison, 1, at(0));
+    let mut checks =
         |ms| poison.suspect_targets(at(ms)).iter().map(|d| d.is_check_due).collect::<Vec<_>>();
-    assert_eq!([looks(50), looks(120), looks(130)], [vec![false], vec![true], vec![false]]);
-    assert_eq!([looks(500), looks(2_000), looks(3_000)], [vec![true], vec![true], vec![false]]);
-    assert!(looks(6_500).is_empty(), "nothing is doubted for ever");
+    assert_eq!([checks(50), checks(120), checks(130)], [vec![false], vec![true], vec![false]]);
+    assert_eq!([checks(500), checks(2_000), checks(3_000)], [vec![true], vec![true], vec![false]]);
+    assert!(checks(6_500).is_empty(), "a suspect target is dropped after a while");
 }
 
 #[test]
-fn target_that_answers_what_it_was_sent_later_is_not_doubted() {
+fn target_that_answers_a_later_request_is_not_suspect() {
     let mut poison = Poison::default();
-    (0..3).for_each(|run| cut_by_listener(&mut poison, run, at(1)));
+    (0..3).for_each(|run| cut_off_while_listening(&mut poison, run, at(1)));
     (0..3).for_each(|run| poison.answered(RequestKey(8), RunKey(run), at(2), at(3)));
     (0..3).for_each(|run| _ = poison.record_check(RunKey(run), Presence::Gone, at(5)));
     assert_eq!((poison.is_convicted(REQUEST), poison.has_suspect_targets()), (false, false));
 }
 
 #[test]
-fn target_that_leaves_is_not_doubted() {
+fn draining_target_is_not_suspect() {
     let mut poison = Poison::default();
-    cut_by_listener(&mut poison, 1, at(1));
+    cut_off_while_listening(&mut poison, 1, at(1));
     poison.record_draining(RunKey(1));
     assert!(!poison.has_suspect_targets());
     assert_eq!(poison.record_check(RunKey(1), Presence::Gone, at(5)), 0);
 }
 
 #[test]
-fn doubts_take_bounded_memory() {
+fn suspect_targets_take_bounded_memory() {
     let mut poison = Poison::default();
-    (0..2_000).for_each(|run| cut_by_listener(&mut poison, run, at(run)));
+    (0..2_000).for_each(|run| cut_off_while_listening(&mut poison, run, at(run)));
     assert!(poison.suspect_targets(at(2_000)).len() <= 128);
 }
 
-/// Lets a request be at three targets for `lived` milliseconds each, which then end.
-fn crash_after(poison: &mut Poison, key: RequestKey, lived: u64, now: u64) {
+/// Records that three targets crashed after they had the request for `age_ms` milliseconds.
+fn crash_after(poison: &mut Poison, key: RequestKey, age_ms: u64, now: u64) {
     for run in 0..3 {
-        if poison.cut_off(key, RunKey(run), at(now - lived), at(now)) == CheckState::Due {
+        if poison.cut_off(key, RunKey(run), at(now - age_ms), at(now)) == CheckState::Due {
             poison.record_check(RunKey(run), Presence::Ended, at(now));
         }
     }
 }
 
-// A daemon that has just started knows of no answers: a request that comes again and again was at each
-// target that another one ended, and was convicted with it.
+// A daemon that has just started has seen no responses. A request that is sent repeatedly was in flight
+// at each target that another request crashed, and was convicted along with it.
 #[parameterized(
     just_started = { 1_000, false },
-    for_long = { 9_000, true },
+    running_for_long = { 9_000, true },
 )]
-fn crash_has_one_cause_as_long_as_answers_are_not_known(now: u64, convicts: bool) {
+fn crash_has_one_cause_until_responses_are_known(now: u64, convicts: bool) {
     let mut poison = Poison::new(at(0));
     let poll = RequestKey(8);
     crash_after(&mut poison, REQUEST, 20, now);
@@ -174,13 +177,13 @@
 }
 
 #[test]
-fn one_look_counts_for_all_that_the_target_had() {
+fn one_check_counts_for_all_requests_at_the_target() {
     let mut poison = Poison::default();
     let first = poison.cut_off(REQUEST, RunKey(1), at(1), at(1));
     let second = poison.cut_off(RequestKey(8), RunKey(1), at(1), at(1));
     assert_eq!((first, second), (CheckState::Due, CheckState::InProgress));
     assert_eq!(poison.record_check(RunKey(1), Presence::Ended, at(2)), 2);
-    // One that is noticed after that needs no look of its own.
+    // A request whose end is noticed after the check needs no check of its own.
     assert_eq!(poison.cut_off(RequestKey(9), RunKey(1), at(3), at(3)), CheckState::Done);
     assert_eq!(poison.suspected(), 3);
 }
@@ -190,16 +193,16 @@
     backwards = { &[2, 1, 0] },
     twice = { &[1, 1, 0, 2, 0] },
 )]
-fn what_others_know_is_merged_in_any_order_and_any_number_of_times(order: &[usize]) {
-    let told = [evidence(&[1]), evidence(&[2, 1]), evidence(&[3])];
+fn evidence_is_merged_in_any_order_and_any_number_of_times(order: &[usize]) {
+    let received = [evidence(&[1]), evidence(&[2, 1]), evidence(&[3])];
     let mut poison = Poison::default();
-    order.iter().for_each(|n| drop(poison.merge(&told[n.to_owned()..=*n], at(1))));
+    order.iter().for_each(|n| drop(poison.merge(&received[n.to_owned()..=*n], at(1))));
     assert!(poison.is_convicted(REQUEST));
     assert_eq!(poison.convicted(), vec![evidence(&[1, 2, 3])]);
 }
 
 #[test]
-fn who_has_not_heard_of_a_conviction_is_told_all_of_it() {
+fn daemon_without_a_conviction_is_sent_all_its_evidence() {
     let mut poison = convicted();
     let merged = poison.merge(&[evidence(&[9])], at(9));
     assert!(!merged.convicts);
@@ -210,50 +213,50 @@
 }
 
 #[test]
-fn request_that_is_run_between_two_crashes_is_cleared_at_all_daemons() {
+fn request_answered_between_two_crashes_is_cleared_at_all_daemons() {
     let mut poison = Poison::default();
     let mut other = Poison::default();
     (0..2).for_each(|run| crash(&mut poison, REQUEST, run, at(run)));
     other.merge(&poison.take_unsent(), at(2));
     poison.answered(REQUEST, RunKey(5), at(3), at(4));
     other.merge(&poison.take_unsent(), at(5));
-    // Long after, so that it is not for having been answered lately.
+    // Long after the response, so that the request is not protected by a recent response.
     for (n, daemon) in [&mut poison, &mut other].into_iter().enumerate() {
         crash(daemon, REQUEST, 10 + n as u64, at(60_000));
         assert!(!daemon.is_convicted(REQUEST));
     }
 }
 
-// A daemon that had answered the request cleared it for itself, and told the others only with the
-// next thing that it found.
+// A daemon that had a response to the request cleared it locally, but published that only with its
+// next finding.
 #[test]
-fn what_clears_a_request_is_told_at_once_where_it_is_known() {
+fn local_clearance_is_published_at_once_when_evidence_arrives() {
     let state = state(&ManualClock::new());
     let now = state.now();
     state.poison().answered(REQUEST, RunKey(9), now, now);
     let seen = state.poison_changed.count();
     state.merge_poison(&[evidence(&[1, 2])]);
-    assert_ne!(state.poison_changed.count(), seen, "who tells others is woken");
-    let told = state.poison().take_unsent();
-    assert_eq!(told.iter().map(Evidence::count).collect::<Vec<_>>(), [0]);
+    assert_ne!(state.poison_changed.count(), seen, "the publishing thread is notified");
+    let sent = state.poison().take_unsent();
+    assert_eq!(sent.iter().map(Evidence::count).collect::<Vec<_>>(), [0]);
 }
 
 #[test]
-fn request_that_was_answered_lately_is_not_suspected_of_a_crash() {
+fn recently_answered_request_is_not_suspected_of_a_crash() {
     let mut poison = Poison::default();
     poison.answered(REQUEST, RunKey(5), at(0), at(1));
     (0..5).for_each(|run| crash(&mut poison, REQUEST, run, at(4_000)));
     assert!(!poison.is_convicted(REQUEST));
     (5..8).for_each(|run| crash(&mut poison, REQUEST, run, at(60_000)));
-    assert!(poison.is_convicted(REQUEST), "what it was does not protect it for ever");
+    assert!(poison.is_convicted(REQUEST), "an old response does not protect the request");
 }
 
 #[test]
-fn target_that_answers_after_its_end_was_told_had_not_ended() {
+fn target_that_answers_after_its_reported_crash_had_not_crashed() {
     let mut poison = convicted();
     let other = RequestKey(8);
     poison.answered(other, RunKey(0), at(0), at(50));
-    assert!(poison.is_convicted(REQUEST), "that answer had been on its way");
+    assert!(poison.is_convicted(REQUEST), "that request was not sent after the crash");
     poison.answered(other, RunKey(0), at(60), at(70));
     assert!(!poison.is_convicted(REQUEST));
 }
@@ -261,9 +264,9 @@
 #[test]
 fn convicted_request_is_tried_once_and_cleared_or_convicted_for_good() {
     let mut poison = convicted();
-    assert!(!poison.begin_trial(REQUEST, at(100)), "it has just been convicted");
+    assert!(!poison.begin_trial(REQUEST, at(100)), "the conviction is too recent");
     assert!(poison.begin_trial(REQUEST, at(6_000)));
-    assert!(!poison.begin_trial(REQUEST, at(6_001)), "one at a time");
+    assert!(!poison.begin_trial(REQUEST, at(6_001)), "one trial at a time");
     crash(&mut poison, REQUEST, 9, at(6_100));
     assert!(!poison.begin_trial(REQUEST, at(900_000)));
 
@@ -287,23 +290,24 @@
 fn request_that_outlives_many_targets_takes_bounded_memory_and_one_datagram() {
     let mut poison = Poison::default();
     for n in 0..1_000u64 {
-        // More than a span apart, so that each is suspected, and answered in between.
+        // The rounds are further apart than a response protects the request, so each crash raises
+        // suspicion; a response follows in each round.
         let now = at(20_000 * n);
         (0..2).for_each(|k| crash(&mut poison, REQUEST, 2 * n + k, now));
         poison.answered(REQUEST, RunKey(u64::MAX), now, now);
-        let told = poison.take_unsent();
-        assert!(told.iter().all(|item| item.crashes.len() + item.cleared.len() <= 40), "{told:?}");
+        let sent = poison.take_unsent();
+        assert!(sent.iter().all(|item| item.crashes.len() + item.cleared.len() <= 40), "{sent:?}");
     }
     assert!(!poison.is_convicted(REQUEST));
 }
 
 #[test]
-fn of_too_many_convicted_those_asked_for_longest_ago_go() {
+fn conviction_looked_up_longest_ago_is_dropped_first() {
     let mut poison = convicted();
     for n in 0..2 * MAX_CONVICTED as u64 {
         let key = RequestKey(100 + u128::from(n));
         (0..3).for_each(|run| crash(&mut poison, key, 1_000 + 3 * n + run, at(n)));
-        assert!(poison.is_convicted(REQUEST), "it is asked for all the while");
+        assert!(poison.is_convicted(REQUEST), "the request is looked up all the time");
     }
     assert_eq!(poison.convicted().len(), MAX_CONVICTED);
 }
@@ -318,7 +322,7 @@
         Self { clock: ManualClock::new(), store: FakeStore::new() }
     }
 
-    /// Starts a daemon that has not read the row.
+    /// Starts a daemon that has not read the poison row.
     fn daemon(&self) -> (Arc<tansyknot_fleet::state::State>, PoisonKeeper) {
         let state = state(&self.clock);
         let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(self.store.door()));
@@ -326,13 +330,13 @@
     }
 
     fn row(&self) -> Vec<u8> {
-        let row = self.store.door().row(RowName::Poison).expect("the store answers");
-        row.expect("there is a row").value
+        let row = self.store.door().row(RowName::Poison).expect("the store responds");
+        row.expect("the row exists").value
     }
 
     fn set_row(&self, value: &[u8]) {
         let written = self.store.door().write_row(RowName::Poison, 0, value);
-        written.expect("the store answers");
+        written.expect("the store responds");
     }
 }
 
@@ -342,14 +346,14 @@
     let (state, keeper) = rig.daemon();
     assert!(keeper.read());
     (0..3).for_each(|run| crash(&mut state.poison(), REQUEST, run, rig.clock.now()));
-    assert!(!keeper.step(false), "who finds the crash writes");
+    assert!(!keeper.step(false), "the daemon that found the crash writes the row");
     let (later, keeper) = rig.daemon();
     assert!(keeper.read());
     assert!(later.poison().is_convicted(REQUEST));
 }
 
 #[test]
-fn two_that_write_at_once_lose_nothing() {
+fn concurrent_writes_lose_no_conviction() {
     let rig = Rig::new();
     let daemons = [rig.daemon(), rig.daemon()];
     for (n, (state, keeper)) in daemons.iter().enumerate() {
@@ -366,13 +370,13 @@
 }
 
 #[test]
-fn write_that_the_store_does_not_take_is_made_again() {
+fn failed_write_is_retried() {
     let rig = Rig::new();
     let state = state(&rig.clock);
     let door = rig.store.door();
     let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(door.clone()));
     door.set(StoreFault::Silent);
-    assert!(!keeper.read(), "no request is taken before it is known");
+    assert!(!keeper.read(), "no request is admitted before the row is read");
     (0..3).for_each(|run| crash(&mut state.poison(), REQUEST, run, at(1)));
     assert!(keeper.step(true));
     door.set(StoreFault::None);
@@ -392,11 +396,11 @@
     assert!(keeper.read());
     (0..3).for_each(|run| crash(&mut state.poison(), REQUEST, run, at(1)));
     keeper.step(true);
-    assert_eq!(rig.row() != value, is_replaced, "what a later release has written stays");
+    assert_eq!(rig.row() != value, is_replaced, "a row written by a later release stays");
 }
 
 #[test]
-fn row_of_as_many_as_are_kept_fits() {
+fn row_with_the_maximum_of_convictions_fits() {
     let rig = Rig::new();
     let (state, keeper) = rig.daemon();
     for n in 0..MAX_CONVICTED as u64 {
@@ -404,5 +408,5 @@
         (0..8).for_each(|run| crash(&mut state.poison(), key, u64::MAX - 8 * n - run, at(n)));
     }
     assert!(!keeper.step(true));
-    assert!(rig.row().len() < ROW_BYTES, "{} bytes", rig.row().len());
+    assert!(rig.row().len() < MAX_ROW_BYTES, "{} bytes", rig.row().len());
 }
--- a/crates/tansyknot-fleet/tests/poison_key.rs
+++ b/crates/tansyknot-fleet/tests/poison_key.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request, and two sends go to the same run of a target.
+//! Tests which attempts have the same request key, and which sends have the same run key.
 
 mod support;
 
@@ -14,12 +14,14 @@
 const HEAD: &str = "POST /query/7?x=1 HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\n\r\n";
 
 fn request(text: &str, body: &str) -> Request {
-    let (head, _) = head::parse(text.as_bytes()).expect("a proper head").expect("a whole head");
+    let (head, _) = head::parse(text.as_bytes())
+        .expect("the head is well-formed")
+        .expect("the head is complete");
     Request { head, body: body.as_bytes().to_vec() }
 }
 
 #[test]
-fn what_changes_from_attempt_to_attempt_is_no_part_of_it() {
+fn headers_that_vary_by_attempt_are_not_part_of_the_key() {
     let first = RequestKey::of(&request(HEAD, "body"));
     let later =
         HEAD.replace("Attempt-Id: 1", "Attempt-Id: 2\r\nDeadline-Ms: 3\r\nLast-Event-Id: 4");
@@ -32,22 +34,22 @@
     path = { "/query/7", "/query/8", "body" },
     query = { "x=1", "x=2", "body" },
     body = { "POST", "POST", "other" },
-    // A part that is longer by what the next one lacks.
-    border = { "/query/7?x=1", "/query/7?x=", "1body" },
+    // One part is longer by the text that the next part lacks.
+    boundary = { "/query/7?x=1", "/query/7?x=", "1body" },
 )]
-fn request_that_differs_is_another(from: &str, to: &str, body: &str) {
+fn different_request_has_a_different_key(from: &str, to: &str, body: &str) {
     let first = RequestKey::of(&request(HEAD, "body"));
     let other = request(&HEAD.replace(from, to), body);
     assert_ne!(RequestKey::of(&other), first);
 }
 
-// A name and a start that differ by the same amount had one key.
+// A name and a start time that differ by the same amount must not give the same key.
 #[test]
-fn runs_of_targets_that_are_numbered_alike_have_keys_of_their_own() {
-    let run = |n: u64, born| Target {
-        started_at: Some(StartTime(born)),
+fn runs_with_similar_names_and_start_times_have_distinct_keys() {
+    let run = |n: u64, start| Target {
+        started_at: Some(StartTime(start)),
         ..support::target(&format!("t{n}"), &[], &[])
     };
-    let runs = (10..40).flat_map(|n| (10..40).map(move |born| RunKey::of(&run(n, born))));
+    let runs = (10..40).flat_map(|n| (10..40).map(move |start| RunKey::of(&run(n, start))));
     assert_eq!(runs.collect::<BTreeSet<RunKey>>().len(), 900);
 }
