--- a/crates/tansyknot-fleet/tests/versions.rs
+++ b/crates/tansyknot-fleet/tests/versions.rs
@@ -1,5 +1,5 @@
-//! As of which version of the store a view takes in what it is told, and for how long it keeps what
-//! may have lapsed.
+//! Tests as of which store version a view applies what it receives, and how long it retains entries that
+//! may have expired.
 
 mod support;
 
@@ -41,7 +41,7 @@
     Removal { name: TargetName::from(name), version }
 }
 
-/// Makes a view that has read `t1`, of version 5, as of version 10.
+/// Returns a view that has read `t1`, of version 5, as of version 10.
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
     fleet.apply_full_list(vec![entry("t1", 5)], 10, None, at(0));
@@ -49,8 +49,8 @@
     fleet
 }
 
-/// Makes one that has lost the store since, and reads the list again as of version 20.
-fn returned() -> Fleet {
+/// Returns the view after a store outage, with the list read again as of version 20.
+fn fleet_after_outage() -> Fleet {
     let mut fleet = fleet();
     fleet.store_returned(at(3_900), at(4_000));
     fleet.apply_full_list(vec![entry("t1", 5)], 20, Some(10), at(4_000));
@@ -58,19 +58,19 @@
     fleet
 }
 
-fn takes_work(fleet: &Fleet, name: &str, now: Time) -> bool {
+fn accepts_work(fleet: &Fleet, name: &str, now: Time) -> bool {
     fleet.accepts_work(&TargetName::from(name), now)
 }
 
 #[parameterized(
-    older_than_the_reading = { 9, false },
+    older_than_the_read = { 9, false },
     newer = { 11, true },
 )]
-fn entry_that_a_reading_did_not_have_counts_if_it_is_newer(version: u64, counts: bool) {
+fn entry_missing_from_a_read_counts_if_it_is_newer(version: u64, counts: bool) {
     let mut fleet = fleet();
-    let told = Entry::from_target(&entry("t2", version));
-    fleet.apply_update(Change::Put(told), FENCE, at(10));
-    assert_eq!(takes_work(&fleet, "t2", at(10)), counts);
+    let received = Entry::from_target(&entry("t2", version));
+    fleet.apply_update(Change::Put(received), FENCE, at(10));
+    assert_eq!(accepts_work(&fleet, "t2", at(10)), counts);
 }
 
 #[parameterized(
@@ -80,37 +80,37 @@
 fn removal_counts_if_it_is_newer_than_the_entry(version: u64, stays: bool) {
     let mut fleet = fleet();
     fleet.apply_update(Change::Removed(removal("t1", version)), FENCE, at(10));
-    assert_eq!(takes_work(&fleet, "t1", at(10)), stays);
+    assert_eq!(accepts_work(&fleet, "t1", at(10)), stays);
 }
 
 #[test]
 fn entry_written_before_a_target_began_to_leave_does_not_undo_a_note_of_it() {
     let mut fleet = fleet();
-    let note = TargetOverride {
+    let target_override = TargetOverride {
         target: TargetName::from("t1"),
         started_at: None,
         revision: 1,
         state: TargetState::Draining,
         models: vec![held("m0", &[])],
     };
-    fleet.apply_override(&note, FENCE, at(10));
-    assert!(!takes_work(&fleet, "t1", at(10)));
+    fleet.apply_override(&target_override, FENCE, at(10));
+    assert!(!accepts_work(&fleet, "t1", at(10)));
     fleet.apply_change(put("t1", 11), at(20));
-    assert!(!takes_work(&fleet, "t1", at(20)));
+    assert!(!accepts_work(&fleet, "t1", at(20)));
 }
 
-// Another daemon may have read the list while the target was there.
+// Another daemon may have read the list while it still had the target.
 #[test]
-fn removal_of_a_target_that_is_not_known_is_told() {
+fn removal_of_an_unknown_target_is_published() {
     let mut fleet = fleet();
     let before = fleet.log.last_number();
     fleet.apply_change(TargetChange::Removed(removal("t2", 12)), at(10));
-    let news = fleet.log.changes_after(before, ListRead::default(), at(10));
-    assert_eq!(news.changes, vec![(before + 1, Change::Removed(removal("t2", 12)))]);
+    let update = fleet.log.changes_after(before, ListRead::default(), at(10));
+    assert_eq!(update.changes, vec![(before + 1, Change::Removed(removal("t2", 12)))]);
 }
 
 #[test]
-fn planner_that_has_not_read_the_list_is_not_joined() {
+fn planner_that_has_not_read_the_list_is_not_followed() {
     let mut follower = PlannerView::default();
     let mark = follower.call_mark();
     follower.record_call(mark, 9);
@@ -127,90 +127,89 @@
     before = { 8, false },
     as_of_the_version_before = { 12, false },
     in_between = { 13, true },
-    as_of_the_whole_reading = { 20, false },
+    as_of_the_full_read = { 20, false },
 )]
-fn daemon_that_read_the_list_between_two_readings_of_its_planner_reads_it_again(
+fn daemon_that_read_the_list_between_two_reads_of_its_planner_reads_it_again(
     version: u64,
-    is_gapped: bool,
+    has_gap: bool,
 ) {
     let mut fleet = Fleet::new(ZoneName::from("z1"), FreshnessLimits::default());
     fleet.apply_full_list(vec![entry("t1", 5)], version, None, at(0));
     fleet.complete_read(version, at(0));
-    let whole = FullRead { after: 12, version: 20 };
-    fleet.apply_update(Change::FullRead(whole), FENCE, at(10));
-    assert_eq!(fleet.has_gap(), is_gapped);
+    let full_read = FullRead { after: 12, version: 20 };
+    fleet.apply_update(Change::FullRead(full_read), FENCE, at(10));
+    assert_eq!(fleet.has_gap(), has_gap);
     fleet.apply_full_list(vec![entry("t1", 5)], 21, Some(version), at(20));
     assert!(!fleet.has_gap());
 }
 
-// The answer was made between the planner's readings and came in after the news of the second one.
+// The store made the response between the planner's two reads, and it arrived after the update about the
+// second one.
 #[parameterized(
     in_between = { 13, true },
-    as_of_the_whole_reading = { 20, false },
+    as_of_the_full_read = { 20, false },
 )]
-fn answer_that_was_on_its_way_while_the_planner_told_of_a_whole_reading_is_read_again(
-    version: u64,
-    is_gapped: bool,
-) {
+fn response_in_flight_during_the_planners_full_read_is_read_again(version: u64, has_gap: bool) {
     let mut fleet = fleet();
     fleet.apply_update(Change::FullRead(FullRead { after: 12, version: 20 }), FENCE, at(10));
     assert!(!fleet.has_gap());
     fleet.apply_change(put("t2", 13), at(20));
     fleet.complete_read(version, at(5));
-    assert_eq!(fleet.has_gap(), is_gapped);
+    assert_eq!(fleet.has_gap(), has_gap);
 }
 
 #[test]
-fn what_was_gone_by_the_stores_return_is_kept_as_long_as_it_may_take_to_come_back() {
+fn entry_gone_after_an_outage_is_retained_until_it_could_be_back() {
     let mut fleet = fleet();
     fleet.store_returned(at(3_900), at(4_000));
     fleet.apply_full_list(Vec::new(), 20, Some(10), at(4_000));
     fleet.complete_read(20, at(4_000));
     let end = at(4_000) + EXPIRY_GRACE;
-    assert!(takes_work(&fleet, "t1", end.saturating_sub(Duration::from_millis(1))));
-    assert!(!takes_work(&fleet, "t1", end));
+    assert!(accepts_work(&fleet, "t1", end.saturating_sub(Duration::from_millis(1))));
+    assert!(!accepts_work(&fleet, "t1", end));
     assert_eq!(
         fleet.advertised_read(end).version,
         10,
-        "others are not told as of what is held back"
+        "the version of a read is not advertised while an entry is retained"
     );
 }
 
-// A host that was cut off keeps the bounds again 3 s after that, and its call failed by then.
+// A host that was disconnected is held to the bounds again 3 s after its return, counted from its last
+// failed store call at the earliest.
 #[test]
 fn nothing_is_kept_once_the_daemon_is_held_to_the_bounds_again() {
     let mut fleet = fleet();
     fleet.store_returned(at(2_500), at(4_000));
     fleet.apply_full_list(Vec::new(), 20, Some(10), at(4_000));
-    assert!(takes_work(&fleet, "t1", at(5_000)));
-    assert!(!takes_work(&fleet, "t1", at(5_500)));
+    assert!(accepts_work(&fleet, "t1", at(5_000)));
+    assert!(!accepts_work(&fleet, "t1", at(5_500)));
 }
 
 #[test]
-fn what_goes_after_the_stores_return_is_kept_for_less_than_a_view_may_be_old() {
-    let mut fleet = returned();
+fn entry_removed_after_an_outage_is_retained_for_less_than_the_maximum_list_age() {
+    let mut fleet = fleet_after_outage();
     fleet.apply_change(TargetChange::Removed(removal("t1", 21)), at(4_600));
-    assert!(takes_work(&fleet, "t1", at(4_700)));
-    let spans = FreshnessLimits::default();
-    let end = at(4_600) + (spans.max_list_age - spans.list_poll_interval);
-    assert!(!takes_work(&fleet, "t1", end));
+    assert!(accepts_work(&fleet, "t1", at(4_700)));
+    let limits = FreshnessLimits::default();
+    let end = at(4_600) + (limits.max_list_age - limits.list_poll_interval);
+    assert!(!accepts_work(&fleet, "t1", end));
 }
 
 #[test]
 fn entry_that_was_written_since_the_stores_return_has_not_lapsed() {
-    let mut fleet = returned();
+    let mut fleet = fleet_after_outage();
     fleet.apply_change(put("t1", 21), at(4_300));
     fleet.apply_change(TargetChange::Removed(removal("t1", 22)), at(4_600));
-    assert!(!takes_work(&fleet, "t1", at(4_600)));
+    assert!(!accepts_work(&fleet, "t1", at(4_600)));
 }
 
 #[test]
-fn older_entry_does_not_end_the_wait_for_one_that_is_gone() {
-    let mut fleet = returned();
+fn older_entry_does_not_restore_a_removed_one() {
+    let mut fleet = fleet_after_outage();
     fleet.apply_change(TargetChange::Removed(removal("t1", 23)), at(4_600));
     fleet.apply_change(put("t1", 22), at(4_610));
     fleet.expire(at(9_000));
-    assert!(!takes_work(&fleet, "t1", at(9_000)));
+    assert!(!accepts_work(&fleet, "t1", at(9_000)));
     fleet.apply_change(put("t1", 24), at(9_010));
-    assert!(takes_work(&fleet, "t1", at(9_010)), "a newer one counts");
+    assert!(accepts_work(&fleet, "t1", at(9_010)), "a newer entry counts");
 }
