--- a/crates/tansyknot-fleet/tests/teams.rs
+++ b/crates/tansyknot-fleet/tests/teams.rs
@@ -1,5 +1,5 @@
-//! A key that was taken away is good nowhere, and a quota holds over all daemons, whatever happens to
-//! them: runs drawn from seeds, in virtual time.
+//! Tests that a revoked key is accepted nowhere and that a quota holds over all daemons, whatever faults
+//! occur. The runs are drawn from seeds and use virtual time.
 
 mod support;
 
@@ -8,11 +8,11 @@
 use support::teams::{Acts, Faults, Outcome, TeamRun};
 use yare::parameterized;
 
-const FEW: usize = 9;
-const MANY: usize = 71;
-const MOST: usize = 295;
-const SPAN: Duration = Duration::from_secs(40);
-const SHORT_SPAN: Duration = Duration::from_secs(12);
+const SMALL_SITE: usize = 9;
+const LARGE_SITE: usize = 71;
+const LARGEST_SITE: usize = 295;
+const DURATION: Duration = Duration::from_secs(40);
+const SHORT_DURATION: Duration = Duration::from_secs(12);
 
 const CALM: Faults =
     Faults { daemons: 0.0, planner: 0.0, herds: 0.0, store: 0.0, loss: 0.0, jitter: 2 };
@@ -26,16 +26,24 @@
 const HOT: Acts = Acts { keys: 0.05, quotas: 0.0, hot: Some((0, 7.5)) };
 const HOT_SMALL: Acts = Acts { hot: Some((3, 7.5)), ..HOT };
 
-/// Refused for their quota, of those with room, on days without faults, at most.
-const REFUSED_CALM: f64 = 1.0 / 200.0;
-/// The same with one team at many times its usual.
-const REFUSED_HOT: f64 = 3.0 / 100.0;
+/// Maximum share of the requests within their quota that are refused while no fault occurs.
+const MAX_REFUSED_CALM: f64 = 1.0 / 200.0;
+/// The same while one team sends many times its usual requests.
+const MAX_REFUSED_HOT: f64 = 3.0 / 100.0;
 
-fn search(usual: u64, daemons: usize, faults: Faults, acts: Acts, span: Duration) -> Outcome {
+fn search(
+    default_seeds: u64,
+    daemons: usize,
+    faults: Faults,
+    acts: Acts,
+    duration: Duration,
+) -> Outcome {
     let mut all = Outcome::default();
-    for seed in support::seeds("TEAMS_SEEDS", usual) {
-        let outcome = TeamRun::new(seed, daemons, faults, acts).run(span);
-        all.broken.extend(outcome.broken.iter().take(3).map(|what| format!("seed {seed}: {what}")));
+    for seed in support::seeds("TEAMS_SEEDS", default_seeds) {
+        let outcome = TeamRun::new(seed, daemons, faults, acts).run(duration);
+        all.broken.extend(
+            outcome.broken.iter().take(3).map(|violation| format!("seed {seed}: {violation}")),
+        );
         all.keyed += outcome.keyed;
         all.key_refused += outcome.key_refused;
         all.within += outcome.within;
@@ -43,7 +51,7 @@
         all.fullest = all.fullest.max(outcome.fullest);
     }
     println!(
-        "{} of {} good keys refused; {} of {} within quotas refused; a window had {:.2}",
+        "{} of {} good keys refused; {} of {} within quotas refused; fullest window {:.2}",
         all.key_refused, all.keyed, all.quota_refused, all.within, all.fullest
     );
     assert!(all.broken.is_empty(), "{}:\n{}", all.broken.len(), all.broken.join("\n"));
@@ -68,35 +76,36 @@
     hot_small_herds = { HERDS, HOT_SMALL },
 )]
 fn keys_and_quotas_hold_whatever_happens(faults: Faults, acts: Acts) {
-    search(2, FEW, faults, acts, SPAN);
+    search(2, SMALL_SITE, faults, acts, DURATION);
 }
 
 #[parameterized(
-    many = { MANY, DAEMONS },
-    most = { MOST, STORE },
+    many = { LARGE_SITE, DAEMONS },
+    most = { LARGEST_SITE, STORE },
 )]
 fn keys_and_quotas_hold_over_many_daemons(daemons: usize, faults: Faults) {
-    search(1, daemons, faults, HOT, SHORT_SPAN);
+    search(1, daemons, faults, HOT, SHORT_DURATION);
 }
 
 #[parameterized(
-    usual = { KEYS, REFUSED_CALM },
-    hot = { HOT, REFUSED_HOT },
-    hot_small = { HOT_SMALL, REFUSED_HOT },
+    usual = { KEYS, MAX_REFUSED_CALM },
+    hot = { HOT, MAX_REFUSED_HOT },
+    hot_small = { HOT_SMALL, MAX_REFUSED_HOT },
 )]
-fn what_a_quota_has_room_for_is_taken_where_nothing_fails(acts: Acts, most: f64) {
-    let outcome = search(2, MANY, CALM, acts, SHORT_SPAN);
+fn what_a_quota_has_room_for_is_taken_where_nothing_fails(acts: Acts, max_refused: f64) {
+    let outcome = search(2, LARGE_SITE, CALM, acts, SHORT_DURATION);
     let share = outcome.quota_refused as f64 / outcome.within as f64;
-    assert!(share <= most, "{share:.4} refused");
-    assert_eq!(outcome.key_refused, 0, "of {}", outcome.keyed);
+    assert!(share <= max_refused, "{share:.4} of the requests refused");
+    assert_eq!(outcome.key_refused, 0, "good keys refused, of {}", outcome.keyed);
 }
 
-// A team sends 7.5 times its usual while one of 71 daemons fails each two seconds, and the planner each
-// ten; a datagram in twenty is lost. The team had begun to ask everywhere at once just before the planner
-// was lost: who is heard first was lent the whole quota, the next one half of it, and so on, 1.7 times the
-// quota's rate together, and one window let through 3 in 100 more than it may.
+// Guards against a quota that is lent more than once. A team sends 7.5 times its usual requests to 71
+// daemons while a daemon fails every 2 s and the planner every 10 s, and 5 % of the datagrams are lost.
+// The team had begun to send to all daemons just before the planner was lost. The first daemon to report
+// was lent the whole quota, the next one half of it, and so on: 1.7 times the quota's rate together, and
+// one window admitted 3 % more than its quota.
 #[test]
 fn quota_holds_while_daemons_fail_and_a_team_is_hot() {
-    let outcome = TeamRun::new(8, MANY, DAEMONS, HOT).run(SHORT_SPAN);
-    assert!(outcome.fullest <= 1.0, "a window had {:.3} of what it may", outcome.fullest);
+    let outcome = TeamRun::new(8, LARGE_SITE, DAEMONS, HOT).run(SHORT_DURATION);
+    assert!(outcome.fullest <= 1.0, "a window had {:.3} of its quota", outcome.fullest);
 }
