--- a/crates/tansyknot-fleet/tests/backoff.rs
+++ b/crates/tansyknot-fleet/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls to a store that does not answer.
+//! Backoff of calls to a store that does not respond.
 
 mod support;
 
@@ -12,34 +12,40 @@
 use tansyknot_core::clock::ManualClock;
 use tansyknot_fleet::{backoff::Backoff, follow::ConfigFollower};
 
-const LEAST: Duration = Duration::from_millis(250);
-const MOST: Duration = Duration::from_secs(1);
+const MIN_DELAY: Duration = Duration::from_millis(250);
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
 #[test]
-fn pauses_grow_to_their_most_and_begin_anew_after_a_success() {
+fn delays_grow_to_the_maximum_and_restart_after_a_success() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut backoff = Backoff::new(LEAST, MOST);
-    let bounds = [LEAST, LEAST * 2, MOST, MOST, MOST];
+    let mut backoff = Backoff::new(MIN_DELAY, MAX_DELAY);
+    let bounds = [MIN_DELAY, MIN_DELAY * 2, MAX_DELAY, MAX_DELAY, MAX_DELAY];
     for bound in bounds {
-        let pause = backoff.failed(&mut rng);
-        assert!(pause <= bound && pause >= bound / 2, "{pause:?} of {bound:?}");
+        let delay = backoff.failed(&mut rng);
+        assert!(
+            delay <= bound && delay >= bound / 2,
+            "a delay of {delay:?} for a bound of {bound:?}"
+        );
     }
     backoff.succeeded();
-    assert!(backoff.failed(&mut rng) <= LEAST);
+    assert!(backoff.failed(&mut rng) <= MIN_DELAY);
 }
 
 #[test]
-fn daemons_that_lost_the_store_together_ask_it_at_different_moments() {
+fn daemons_that_lost_the_store_together_retry_at_different_times() {
     let mut rng = StdRng::seed_from_u64(1);
-    let first = |rng: &mut StdRng| Backoff::new(LEAST, MOST).failed(rng);
-    let pauses: Vec<Duration> = (0..20).map(|_| first(&mut rng)).collect();
-    let span =
-        pauses.iter().max().expect("some").saturating_sub(*pauses.iter().min().expect("some"));
-    assert!(span > LEAST / 4, "{pauses:?}");
+    let first_delay = |rng: &mut StdRng| Backoff::new(MIN_DELAY, MAX_DELAY).failed(rng);
+    let delays: Vec<Duration> = (0..20).map(|_| first_delay(&mut rng)).collect();
+    let spread = delays
+        .iter()
+        .max()
+        .expect("there are delays")
+        .saturating_sub(*delays.iter().min().expect("there are delays"));
+    assert!(spread > MIN_DELAY / 4, "{delays:?}");
 }
 
 #[test]
-fn store_that_is_away_is_asked_less_and_less() {
+fn unavailable_store_is_called_less_and_less_often() {
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let daemon = Daemon::new("a", &store, &clock);
@@ -53,22 +59,22 @@
     assert!(calls <= 18, "{calls} calls in 10 s");
     daemon.door.set(StoreFault::None);
     daemon.keep();
-    assert!(daemon.may_order(), "a store that is back is used at once");
+    assert!(daemon.may_order(), "the store is used again with the first call that it answers");
 }
 
 #[test]
-fn first_answer_of_a_store_that_was_away_wakes_the_other_calls() {
+fn first_response_after_an_outage_wakes_the_other_calls() {
     let store = FakeStore::new();
     let door = store.door();
     let state = state(&ManualClock::new());
     let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(door.clone()));
     follower.step();
-    assert!(state.store_contacts().returned_at.is_none(), "it was never away");
+    assert!(state.store_contacts().returned_at.is_none(), "the store has always responded");
     door.set(StoreFault::Busy);
     follower.step();
     door.set(StoreFault::None);
-    let seen = state.store_call_due.count();
+    let count_before = state.store_call_due.count();
     follower.step();
     assert!(state.store_contacts().returned_at.is_some());
-    assert_ne!(state.store_call_due.count(), seen);
+    assert_ne!(state.store_call_due.count(), count_before);
 }
--- a/crates/tansyknot-fleet/tests/copies.rs
+++ b/crates/tansyknot-fleet/tests/copies.rs
@@ -1,4 +1,4 @@
-//! How many copies of a model the planner keeps.
+//! Numbers of copies of models that the planner loads and retains.
 
 mod support;
 
@@ -15,7 +15,7 @@
 fn copies_that_those_who_wait_cannot_use_are_not_counted() {
     let mut rig = Rig::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5"])]);
     rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
-    assert!(rig.plan().is_empty(), "the news of the copy may be on its way");
+    assert!(rig.plan().is_empty(), "the daemon may not have received the update with the copy yet");
     for _ in 0..4 {
         rig.now = rig.now + std::time::Duration::from_millis(700);
         rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
@@ -24,10 +24,10 @@
 }
 
 #[parameterized(
-    its_share = { 2, 0 },
-    more_than_its_share_of_eight_slots = { 3, 1 },
+    at_the_share = { 2, 0 },
+    above_the_share_of_eight_slots = { 3, 1 },
 )]
-fn model_whose_copy_has_its_share_of_the_slots_in_use_gets_another(in_flight: u16, loads: usize) {
+fn model_gets_another_copy_above_its_share_of_slots_in_use(in_flight: u16, loads: usize) {
     let mut rig = Rig::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5"])]);
     rig.hear(&[wants("m5", None, 0, 1)], vec![busy("t1", "m5", in_flight)]);
     assert_eq!(rig.plan().len(), loads);
@@ -40,15 +40,15 @@
     targets.push(target("t1", &["m5"], &[]));
     let mut rig = Rig::new(targets);
     rig.hear(&[wants("m5", None, 0, 1)], vec![busy("t1", "m5", 7)]);
-    let begun: usize = (0..4).map(|_| rig.plan().len()).sum();
-    assert_eq!(begun, 2, "seven requests in flight take three copies of engines with eight slots");
+    let loads: usize = (0..4).map(|_| rig.plan().len()).sum();
+    assert_eq!(loads, 2, "seven requests in flight need three copies on engines with eight slots");
 }
 
 #[test]
-fn model_that_many_ask_for_and_that_is_nowhere_goes_before_an_overloaded_one() {
+fn frequently_requested_model_without_copies_precedes_an_overloaded_one() {
     let mut rig = Rig::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
     rig.hear(&[wants("m6", None, 0, 1)], Vec::new());
-    // Twenty arrivals make a rate above that of a model with two copies.
+    // Twenty arrivals give a rate above that of a model with two copies.
     rig.hear(&[wants("m5", None, 0, 1), wants("m6", None, 2, 21)], vec![busy("t1", "m5", 7)]);
     assert_eq!(orders(&rig.plan()), ["t2 +m6"]);
 }
@@ -58,23 +58,27 @@
     warm = { 2, 1, 2 },
     hot = { 10, 1, 3 },
 )]
-fn models_asked_for_often_have_more_copies(arrived: u32, every: u32, copies: usize) {
+fn frequently_requested_models_have_more_copies(arrived: u32, every: u32, copies: usize) {
     let mut rig = Rig::new((0..5).map(|n| target(&format!("t{n}"), &[], &["m0"])).collect());
-    // Half a second a step, for twelve seconds.
-    let mut all = 1;
+    // Twelve seconds, in steps of half a second.
+    let mut all_arrived = 1;
     for step in 1..=24 {
-        rig.hear(&[wants("m0", None, 1, all)], Vec::new());
-        all += if step % every == 0 { arrived } else { 0 };
+        rig.hear(&[wants("m0", None, 1, all_arrived)], Vec::new());
+        all_arrived += if step % every == 0 { arrived } else { 0 };
         rig.now = rig.now + std::time::Duration::from_millis(500);
     }
-    rig.hear(&[wants("m0", None, 1, all)], Vec::new());
+    rig.hear(&[wants("m0", None, 1, all_arrived)], Vec::new());
     let mut holders = BTreeSet::new();
     for _ in 0..6 {
         for task in rig.plan() {
             let name = task.target.name.clone();
             holders.insert(name.to_string());
             rig.planner.task_ended(&name, TaskOutcome::Done, rig.now);
-            let at = rig.targets.iter().position(|t| t.name == name).expect("a target");
+            let at = rig
+                .targets
+                .iter()
+                .position(|t| t.name == name)
+                .expect("the task's target is in the list");
             rig.targets[at] = Arc::new(target(name.as_str(), &["m0"], &["m0"]));
         }
     }
@@ -82,10 +86,10 @@
 }
 
 #[test]
-fn demand_that_has_moved_away_frees_its_copies_within_three_seconds() {
+fn copies_without_demand_are_freed_within_three_seconds() {
     let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
     let (mut hot, mut warm) = (0, 0);
-    // Twenty and three a second; after twelve seconds nobody asks for the first any more.
+    // Twenty requests a second for `m0`, which end after twelve seconds, and three for the others.
     for tick in 0..150 {
         hot += if tick < 120 { 2 } else { 0 };
         warm += if tick % 10 < 3 { 1 } else { 0 };
