--- a/crates/tansyknot-fleet/tests/catch_up.rs
+++ b/crates/tansyknot-fleet/tests/catch_up.rs
@@ -1,16 +1,11 @@
-//! Followers that were away while many changes were made, behind a narrow link.
+//! Guards against daemons that keep an outdated configuration although the store responds to them.
 //!
-//! What users saw: two daemons of 77 refused requests with 404 for 9 s, though the routes had been
-//! accepted long before and the store answered these daemons. The order of events: a daemon is cut
-//! off from the store; operators make three changes a second for 12 s; the cut ends; the daemon
-//! asks for all changes since its last version; the store sends every version of the document in
-//! between, 95 kB each, and the daemon's link does not carry them in the time of one call; what has
-//! come is thrown away, and the daemon asks for the same again, until the store has forgotten so
-//! far back. The evidence: the link of the daemon was full, the store counted its calls as
-//! answered, and 1617 said `timeout: global after 819124 bytes of the answer` with the eighth
-//! failure in a row, still asking from the version that it had when the cut began.
-//!
-//! The cause: time for a call is bounded and an answer is not, if it is the history of a row.
+//! A daemon loses the store for 12 s while operators make three changes a second. Then it requests all
+//! changes since its last version, and the store sends every version of the document in between,
+//! 95 kB each. Over a narrow link this response takes longer than the timeout of the call, because
+//! the length of a row's history has no bound. The daemon discards the partial response and requests
+//! the same again, until the store no longer has that part of the history. In a deployment of 77
+//! daemons, two of them refused requests for routes accepted long before with 404 for 9 s.
 
 mod support;
 
@@ -34,33 +29,32 @@
     target::Target,
 };
 
-/// A document or a hundred entries on the daemon's link: 95 kB at 10 Mbit/s.
-const DOCUMENT: Duration = Duration::from_millis(80);
-/// The time of one call.
-const CALL: Duration = Duration::from_millis(1000);
-/// The store's history.
-const HISTORY: Duration = Duration::from_secs(20);
-/// Three changes a second.
-const BUSY: Duration = Duration::from_millis(333);
-const CALM: Duration = Duration::from_millis(800);
-const CUT: Duration = Duration::from_secs(12);
-/// A change is to be in force this long after it was accepted.
-const BOUND: Duration = Duration::from_secs(3);
-/// Entries that a link carries in the time of one document.
-const ENTRIES: usize = 100;
+/// Transfer time of a document, or of a hundred entries, over the daemon's link: 95 kB at 10 Mbit/s.
+const DOCUMENT_TRANSFER_TIME: Duration = Duration::from_millis(80);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long the store keeps the history of a row.
+const HISTORY_RETENTION: Duration = Duration::from_secs(20);
+/// Interval between changes during the outage: three changes a second.
+const OUTAGE_CHANGE_INTERVAL: Duration = Duration::from_millis(333);
+const CALM_CHANGE_INTERVAL: Duration = Duration::from_millis(800);
+const OUTAGE_DURATION: Duration = Duration::from_secs(12);
+/// An accepted change must be in force after this time.
+const MAX_CONFIG_DELAY: Duration = Duration::from_secs(3);
+/// Entries that take as long to transfer as one document.
+const ENTRIES_PER_DOCUMENT: usize = 100;
 
 #[derive(Default)]
 struct Rows {
     /// When each version of the document was accepted; the first is version 1.
     accepted: Vec<Time>,
     targets: Vec<Target>,
-    /// Every change of an entry, the store's version with it.
+    /// Every change of an entry, with the store's version after it.
     changes: VecDeque<(u64, TargetChange)>,
     version: u64,
-    is_cut: bool,
+    is_unavailable: bool,
 }
 
-/// A store behind a link on which answers take time.
+/// A store behind a narrow link: responses take time in proportion to their size.
 struct NarrowStore {
     clock: ManualClock,
     rows: Mutex<Rows>,
@@ -68,16 +62,16 @@
 
 impl NarrowStore {
     fn rows(&self) -> MutexGuard<'_, Rows> {
-        self.rows.lock().expect("no test panics with it")
+        self.rows.lock().expect("no test panics while it holds the lock")
     }
 
-    /// Lets the operators make a change.
+    /// Adds a version of the document, as a change by operators does.
     fn accept(&self) {
         let now = self.clock.now();
         self.rows().accepted.push(now);
     }
 
-    /// Lets a target renew its entry.
+    /// Renews the entry of target `n`.
     fn renew(&self, n: usize) {
         let mut rows = self.rows();
         rows.version += 1;
@@ -88,16 +82,21 @@
         rows.changes.push_back((version, change));
     }
 
-    /// Sends an answer of so many documents; it fails if they take longer than a call may.
+    /// Lets the transfer time of a response with `documents` pass.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the transfer takes longer than the timeout of a call, or if the store is unavailable.
     fn send(&self, documents: usize) -> Result<()> {
-        if self.rows().is_cut {
-            self.clock.advance(CALL);
+        if self.rows().is_unavailable {
+            self.clock.advance(CALL_TIMEOUT);
             return Err(Error::unknown("store", "timeout"));
         }
-        let span = DOCUMENT * u32::try_from(documents).expect("they are few");
-        self.clock.advance(span.min(CALL));
-        if span > CALL {
-            return Err(Error::unknown("store", "timeout in the answer"));
+        let duration =
+            DOCUMENT_TRANSFER_TIME * u32::try_from(documents).expect("there are few documents");
+        self.clock.advance(duration.min(CALL_TIMEOUT));
+        if duration > CALL_TIMEOUT {
+            return Err(Error::unknown("store", "timeout in the response"));
         }
         Ok(())
     }
@@ -115,18 +114,18 @@
             let rows = self.rows();
             (rows.targets.clone(), rows.version)
         };
-        self.send(targets.len().div_ceil(ENTRIES))?;
+        self.send(targets.len().div_ceil(ENTRIES_PER_DOCUMENT))?;
         Ok((targets, version))
     }
 
     fn target_changes(&self, version: u64) -> Result<TargetListUpdate> {
         let (changes, newest) = {
             let rows = self.rows();
-            let is_news = |(at, _): &&(u64, TargetChange)| *at > version;
-            let changes: Vec<_> = rows.changes.iter().filter(is_news).cloned().collect();
+            let is_newer = |(at, _): &&(u64, TargetChange)| *at > version;
+            let changes: Vec<_> = rows.changes.iter().filter(is_newer).cloned().collect();
             (changes, rows.version)
         };
-        self.send(changes.len().div_ceil(ENTRIES))?;
+        self.send(changes.len().div_ceil(ENTRIES_PER_DOCUMENT))?;
         let changes = changes.into_iter().map(|(_, change)| change).collect();
         Ok(TargetListUpdate::Changes { changes, version: newest })
     }
@@ -137,20 +136,20 @@
     }
 
     fn catalog_changes(&self, version: u64, _: Duration) -> Result<Option<(Option<Catalog>, u64)>> {
-        let known = usize::try_from(version).expect("versions are few");
-        let (news, is_forgotten) = {
+        let known = usize::try_from(version).expect("there are few versions");
+        let (new_versions, is_history_lost) = {
             let rows = self.rows();
             let next = rows.accepted.get(known);
             let age = next.map_or(Duration::ZERO, |at| self.clock.now().since(*at));
-            (rows.accepted.len() - known, age > HISTORY)
+            (rows.accepted.len() - known, age > HISTORY_RETENTION)
         };
-        if is_forgotten {
+        if is_history_lost {
             self.send(0)?;
             return Ok(None);
         }
-        self.send(news)?;
+        self.send(new_versions)?;
         let (catalog, version) = self.document();
-        Ok(Some((catalog.filter(|_| news > 0), version)))
+        Ok(Some((catalog.filter(|_| new_versions > 0), version)))
     }
 
     fn row(&self, _: RowName) -> Result<Option<StoreRow>> {
@@ -193,22 +192,24 @@
         self.state.catalog().map_or(0, |c| c.version)
     }
 
-    /// Makes one call; the operators make a change each `gap` meanwhile and until the next one.
-    fn step(&self, follower: &mut ConfigFollower, gap: Duration) {
-        let mut last = *self.store.rows().accepted.last().expect("there is one");
+    /// Makes one call and waits until the next is due; meanwhile operators make a change every
+    /// `change_interval`.
+    fn step(&self, follower: &mut ConfigFollower, change_interval: Duration) {
+        let mut last = *self.store.rows().accepted.last().expect("a version was accepted");
         let pause = follower.step();
         self.clock.advance(pause.max(Duration::from_millis(10)));
-        while self.clock.now().since(last) >= gap {
-            last = last + gap;
+        while self.clock.now().since(last) >= change_interval {
+            last = last + change_interval;
             self.store.rows().accepted.push(last);
         }
     }
 
-    /// Returns the version that must be in force: the newest that is older than the bound.
+    /// Returns the version that must be in force: the newest that was accepted longer ago than the
+    /// bound.
     fn due(&self) -> u64 {
         let now = self.clock.now();
         let rows = self.store.rows();
-        rows.accepted.iter().filter(|at| now.since(**at) > BOUND).count() as u64
+        rows.accepted.iter().filter(|at| now.since(**at) > MAX_CONFIG_DELAY).count() as u64
     }
 }
 
@@ -216,29 +217,32 @@
 fn daemon_that_was_cut_off_during_many_changes_has_the_newest_in_force_in_time() {
     let rig = Rig::new();
     let mut follower = rig.config_follower();
-    rig.store.rows().is_cut = true;
-    let began = rig.clock.now();
-    while rig.clock.now().since(began) < CUT {
-        rig.step(&mut follower, BUSY);
+    rig.store.rows().is_unavailable = true;
+    let outage_began = rig.clock.now();
+    while rig.clock.now().since(outage_began) < OUTAGE_DURATION {
+        rig.step(&mut follower, OUTAGE_CHANGE_INTERVAL);
     }
-    rig.store.rows().is_cut = false;
-    let healed = rig.clock.now();
-    while rig.clock.now().since(healed) < HISTORY {
-        rig.step(&mut follower, CALM);
-        let since = rig.clock.now().since(healed);
-        if since > BOUND {
+    rig.store.rows().is_unavailable = false;
+    let restored_at = rig.clock.now();
+    while rig.clock.now().since(restored_at) < HISTORY_RETENTION {
+        rig.step(&mut follower, CALM_CHANGE_INTERVAL);
+        let since = rig.clock.now().since(restored_at);
+        if since > MAX_CONFIG_DELAY {
             let (in_force, due) = (rig.in_force(), rig.due());
-            assert!(in_force >= due, "{in_force} in force {since:?} after the cut, {due} due");
+            assert!(
+                in_force >= due,
+                "version {in_force} in force {since:?} after the outage, {due} due"
+            );
         }
     }
 }
 
 #[test]
-fn daemon_that_stood_still_during_many_changes_has_the_newest_with_its_next_answer() {
+fn paused_daemon_has_the_newest_configuration_after_its_next_call() {
     let rig = Rig::new();
     let mut follower = rig.config_follower();
     for _ in 0..30 {
-        rig.clock.advance(BUSY);
+        rig.clock.advance(OUTAGE_CHANGE_INTERVAL);
         rig.store.accept();
     }
     follower.step();
@@ -246,28 +250,28 @@
 }
 
 #[test]
-fn list_that_changed_much_while_the_daemon_was_cut_off_is_known_with_the_next_answer() {
+fn list_that_changed_much_during_an_outage_is_current_after_the_next_call() {
     let rig = Rig::new();
     for n in 0..90 {
         rig.store.rows().targets.push(target(&format!("t{n}"), &[], &[]));
     }
-    let known = Arc::new(AtomicBool::new(false));
-    let mut follower = TargetFollower::new(Arc::clone(&rig.state), rig.store() as _, known);
+    let has_read = Arc::new(AtomicBool::new(false));
+    let mut follower = TargetFollower::new(Arc::clone(&rig.state), rig.store() as _, has_read);
     assert!(follower.step());
-    rig.store.rows().is_cut = true;
+    rig.store.rows().is_unavailable = true;
     for round in 0..16 {
         (0..90).for_each(|n| rig.store.renew(n));
-        // The last one fails just before the store is back: a daemon that lost it calls on.
+        // The daemon keeps retrying, so its last failed call is just before the store is back.
         if round % 4 == 3 {
             assert!(!follower.step());
         }
         rig.clock.advance(Duration::from_secs(1));
     }
     rig.store.rows().targets.truncate(89);
-    rig.store.rows().is_cut = false;
-    assert!(follower.step(), "the answer comes in the time of a call");
+    rig.store.rows().is_unavailable = false;
+    assert!(follower.step(), "the response arrives within the timeout of a call");
     let gone = TargetName::from("t89");
-    assert!(rig.state.fleet().target(&gone).is_some(), "it may have lapsed with the store away");
+    assert!(rig.state.fleet().target(&gone).is_some(), "it may have expired during the outage");
     rig.clock.advance(Duration::from_secs(5));
     assert!(follower.step());
     assert!(rig.state.fleet().target(&gone).is_none());
--- a/crates/tansyknot-fleet/tests/follow.rs
+++ b/crates/tansyknot-fleet/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Following the list by calls and by the planner's news.
+//! Following the list and the configuration by calls to the store and by the planner's updates.
 
 mod support;
 
@@ -27,10 +27,10 @@
     target::Removal,
 };
 
-/// An outage of the store in which entries may lapse: three heartbeats.
+/// An outage of the store during which entries may expire: three heartbeats.
 const OUTAGE: Duration = Duration::from_millis(3600);
 
-/// A follower of a store's list, and what it shares.
+/// A follower of the list, with its store, clock and state.
 struct Rig {
     store: FakeStore,
     door: Door,
@@ -44,8 +44,8 @@
     let door = store.door();
     let clock = ManualClock::new();
     let state = state(&clock);
-    let known = Arc::new(AtomicBool::new(false));
-    let follower = TargetFollower::new(Arc::clone(&state), Arc::new(door.clone()), known);
+    let has_read = Arc::new(AtomicBool::new(false));
+    let follower = TargetFollower::new(Arc::clone(&state), Arc::new(door.clone()), has_read);
     Rig { store, door, clock, state, follower }
 }
 
@@ -69,10 +69,16 @@
     for _ in 0..4 {
         assert!(!follower.step());
     }
-    let within = door.read_within();
-    assert!(within[0] <= Duration::from_millis(500), "a start notices the store's return soon");
-    assert!(within.windows(2).all(|w| w[0] < w[1]));
-    assert!(within[3] >= Duration::from_secs(2), "a long list over a busy link arrives");
+    let timeouts = door.read_within();
+    assert!(
+        timeouts[0] <= Duration::from_millis(500),
+        "a starting daemon soon notices that the store is back"
+    );
+    assert!(timeouts.windows(2).all(|w| w[0] < w[1]));
+    assert!(
+        timeouts[3] >= Duration::from_secs(2),
+        "a long list has time to arrive over a busy link"
+    );
 }
 
 #[test]
@@ -81,9 +87,9 @@
     assert!(follower.step());
     let now = state.now();
     let read = ListRead { age: Duration::ZERO, version: 77 };
-    let news = ChangeLog::default().changes_after(0, read, now);
+    let update = ChangeLog::default().changes_after(0, read, now);
     for _ in 0..2 {
-        state.planner_view().apply_list_update(1, news.clone(), now);
+        state.planner_view().apply_list_update(1, update.clone(), now);
         let mark = state.planner_view().call_mark();
         state.planner_view().record_call(mark, 0);
     }
@@ -91,22 +97,22 @@
     assert_eq!(door.followed_from(), 77);
 }
 
-// News say to all daemons how old the planner's view of the configuration is: an answer that was long
-// on its way must not count as young.
+// Updates publish the age of the planner's view of the configuration to all daemons, so a response
+// that took long to arrive must not count as fresh.
 #[test]
 fn view_of_the_configuration_is_as_old_as_the_answer_that_shows_it() {
     let Rig { door, clock, state, .. } = rig();
     let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(door.clone()));
     follower.step();
-    let on_its_way = Duration::from_millis(500);
-    door.delay(&clock, on_its_way);
+    let transit_time = Duration::from_millis(500);
+    door.delay(&clock, transit_time);
     follower.step();
-    let shown_at = state.store_contacts().config.expect("the store has answered");
-    assert!(state.now().since(shown_at) >= on_its_way);
+    let as_of = state.store_contacts().config.expect("the store has responded");
+    assert!(state.now().since(as_of) >= transit_time);
 }
 
 #[test]
-fn store_that_is_away_leaves_the_view() {
+fn view_is_retained_while_the_store_is_unavailable() {
     let Rig { store, door, clock, state, mut follower } = rig();
     store.set_list(vec![target("t1", &[], &[])]);
     assert!(follower.step());
@@ -115,12 +121,12 @@
     assert!(!follower.step());
     assert!(state.fleet().target(&TargetName::from("t1")).is_some());
     door.set(StoreFault::None);
-    let gone = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
-    store.push_news(TargetListUpdate::Changes { changes: vec![gone], version: 9 });
+    let removal = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
+    store.push_news(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
     assert!(follower.step());
     assert!(
         state.fleet().target(&TargetName::from("t1")).is_some(),
-        "it may have lapsed while the store was away"
+        "it may have expired during the outage"
     );
 }
 
@@ -130,42 +136,43 @@
     store.set_list(vec![target("t1", &[], &[])]);
     assert!(follower.step());
     door.set(StoreFault::Silent);
-    assert!(!follower.step(), "this daemon alone lost the store");
+    assert!(!follower.step(), "only this daemon lost the store");
     door.set(StoreFault::None);
     let mut log = ChangeLog::default();
     for _ in 0..20 {
         clock.advance(Duration::from_millis(500));
-        let news = log.changes_after(0, ListRead { age: Duration::ZERO, version: 1 }, state.now());
-        state.planner_view().apply_list_update(1, news, state.now());
+        let update =
+            log.changes_after(0, ListRead { age: Duration::ZERO, version: 1 }, state.now());
+        state.planner_view().apply_list_update(1, update, state.now());
         let mark = state.planner_view().call_mark();
         state.planner_view().record_call(mark, 0);
     }
     clock.advance(Duration::from_millis(1900));
-    let gone = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
-    store.push_news(TargetListUpdate::Changes { changes: vec![gone], version: 9 });
+    let removal = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
+    store.push_news(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
     assert!(follower.step());
     assert!(state.fleet().target(&TargetName::from("t1")).is_none());
 }
 
 #[test]
 fn calls_go_on_from_what_was_known_when_the_planner_changes() {
-    let mut followed = PlannerView::default();
+    let mut view = PlannerView::default();
     let now = Time::from_millis(10_000);
     let mut log = ChangeLog::default();
     for _ in 0..2 {
-        followed.apply_list_update(
+        view.apply_list_update(
             1,
             log.changes_after(0, ListRead { age: Duration::ZERO, version: 77 }, now),
             now,
         );
-        let mark = followed.call_mark();
-        followed.record_call(mark, 0);
+        let mark = view.call_mark();
+        view.record_call(mark, 0);
     }
-    assert_eq!(followed.list_version(), 77);
-    followed.apply_list_update(
+    assert_eq!(view.list_version(), 77);
+    view.apply_list_update(
         2,
         log.changes_after(0, ListRead { age: Duration::ZERO, version: 0 }, now),
         now,
     );
-    assert_eq!(followed.list_version(), 77);
+    assert_eq!(view.list_version(), 77);
 }
--- a/crates/tansyknot-fleet/tests/instrumented_store.rs
+++ b/crates/tansyknot-fleet/tests/instrumented_store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store as the metrics page shows them.
+//! Metrics of calls to the store.
 
 mod support;
 
@@ -16,20 +16,25 @@
 };
 
 #[derive(Default)]
-struct Figures(Mutex<BTreeMap<String, u64>>);
+struct RecordedMetrics(Mutex<BTreeMap<String, u64>>);
 
-impl Figures {
-    fn add(&self, name: &str, of: &ServiceName, n: u64) {
-        let mut all = self.0.lock().expect("no test panics with it");
-        *all.entry(format!("{name} {of}")).or_default() += n;
+impl RecordedMetrics {
+    fn add(&self, name: &str, label: &ServiceName, n: u64) {
+        let mut values = self.0.lock().expect("no test panics while it holds the lock");
+        *values.entry(format!("{name} {label}")).or_default() += n;
     }
 
-    fn of(&self, name: &str) -> u64 {
-        self.0.lock().expect("no test panics with it").get(name).copied().unwrap_or(0)
+    fn value(&self, name: &str) -> u64 {
+        self.0
+            .lock()
+            .expect("no test panics while it holds the lock")
+            .get(name)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
-impl Recorder for Figures {
+impl Recorder for RecordedMetrics {
     fn count(&self, name: &'static str, service: &ServiceName, n: u64) {
         self.add(name, service, n);
     }
@@ -42,21 +47,24 @@
 }
 
 #[test]
-fn calls_are_counted_by_kind_and_end() {
+fn calls_are_counted_by_kind_and_outcome() {
     let store = FakeStore::new();
     let door = store.door();
-    let figures = Arc::new(Figures::default());
-    let counted = InstrumentedStore::new(Arc::new(door.clone()), Arc::clone(&figures) as _);
-    assert!(counted.row(RowName::Planner).is_ok());
-    assert!(counted.write_row(RowName::Planner, 0, b"a").is_ok());
-    assert!(counted.write_row(RowName::Planner, 0, b"b").is_ok(), "a conflict is an answer");
+    let metrics = Arc::new(RecordedMetrics::default());
+    let instrumented = InstrumentedStore::new(Arc::new(door.clone()), Arc::clone(&metrics) as _);
+    assert!(instrumented.row(RowName::Planner).is_ok());
+    assert!(instrumented.write_row(RowName::Planner, 0, b"a").is_ok());
+    assert!(
+        instrumented.write_row(RowName::Planner, 0, b"b").is_ok(),
+        "a conflict is a successful call"
+    );
     door.set(StoreFault::Silent);
-    assert!(counted.targets(std::time::Duration::from_secs(1)).is_err());
-    assert_eq!(figures.of("store_calls read_planner"), 1);
-    assert_eq!(figures.of("store_calls write_planner"), 2);
-    assert_eq!(figures.of("store_conflicts write_planner"), 1);
-    assert_eq!(figures.of("store_calls all_targets"), 1);
-    assert_eq!(figures.of("store_calls_failed all_targets"), 1);
-    assert_eq!(figures.of("store_call all_targets"), 1, "failed calls are timed too");
-    assert_eq!(figures.of("store_calls_failed read_planner"), 0);
+    assert!(instrumented.targets(std::time::Duration::from_secs(1)).is_err());
+    assert_eq!(metrics.value("store_calls read_planner"), 1);
+    assert_eq!(metrics.value("store_calls write_planner"), 2);
+    assert_eq!(metrics.value("store_conflicts write_planner"), 1);
+    assert_eq!(metrics.value("store_calls all_targets"), 1);
+    assert_eq!(metrics.value("store_calls_failed all_targets"), 1);
+    assert_eq!(metrics.value("store_call all_targets"), 1, "failed calls are timed too");
+    assert_eq!(metrics.value("store_calls_failed read_planner"), 0);
 }
--- a/crates/tansyknot-fleet/tests/shutdown.rs
+++ b/crates/tansyknot-fleet/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What a planned stop does when.
+//! Times of the steps of a graceful shutdown.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[parameterized(
     very_short = { 2_000 },
     short = { 4_000 },
-    both_sites = { 8_000 },
+    medium = { 8_000 },
     long = { 30_000 },
 )]
 fn requests_are_cut_in_the_last_sixth_of_the_grace_and_refused_well_before(grace_ms: u64) {
@@ -17,5 +17,5 @@
     assert!(plan.abort_after >= grace * 5 / 6, "{plan:?}");
     assert!(plan.abort_after + Duration::from_millis(150) <= grace, "{plan:?}");
     assert!(plan.refuse_after + Duration::from_millis(500) <= plan.abort_after, "{plan:?}");
-    assert!(plan.refuse_after <= Duration::from_secs(3), "callers go elsewhere by then");
+    assert!(plan.refuse_after <= Duration::from_secs(3), "callers use another daemon by then");
 }
