--- a/crates/tansyknot-fleet/tests/lease.rs
+++ b/crates/tansyknot-fleet/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Who may order when: renewals, take-overs, frozen holders and lost answers.
+//! Which daemon may send orders: renewals, takeovers, frozen holders and lost responses.
 
 mod support;
 
@@ -15,14 +15,14 @@
 use tansyknot_fleet::{lease, lease_keeper::Reluctance};
 use yare::parameterized;
 
-/// The platform's bound on turns of two holders, as both sites set it.
-const TURN: Duration = Duration::from_millis(3000);
+/// The platform's lower bound on the time between the orders of two successive holders.
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(3000);
 
 fn advance(clock: &ManualClock, ms: u64) {
     clock.advance(Duration::from_millis(ms));
 }
 
-/// Lets `daemons` do what is due for `ms`, in steps of 50 ms.
+/// Lets `daemons` maintain the lease for `ms`, in steps of 50 ms.
 fn run(clock: &ManualClock, daemons: &[&Daemon], ms: u64) {
     for _ in 0..ms / 50 {
         advance(clock, 50);
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lets `d` alone do what is due until it may order; returns when that is.
+/// Lets only `d` maintain the lease until it may send orders; returns that time.
 fn until_it_may_order(clock: &ManualClock, d: &Daemon) -> Time {
     for _ in 0..200 {
         run(clock, &[d], 50);
@@ -38,7 +38,7 @@
             return clock.now();
         }
     }
-    panic!("the lease is not taken over in 10 s");
+    panic!("the lease is not taken over within 10 s");
 }
 
 fn may_order(d: &Daemon) -> bool {
@@ -64,9 +64,9 @@
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 2_000);
     let last = a.last_order_possible();
-    let ordered = until_it_may_order(&clock, &b);
-    assert!(ordered.since(last) >= TURN, "{:?}", ordered.since(last));
-    assert!(ordered.since(last) < TURN + Duration::from_secs(1));
+    let may_order_at = until_it_may_order(&clock, &b);
+    assert!(may_order_at.since(last) >= HANDOVER_INTERVAL, "{:?}", may_order_at.since(last));
+    assert!(may_order_at.since(last) < HANDOVER_INTERVAL + Duration::from_secs(1));
     assert!(b.lease.fence() > a.fence_seen());
 }
 
@@ -78,7 +78,7 @@
     run(&clock, &[&a, &b], 2_000);
     run(&clock, &[&b], 10_000);
     assert!(may_order(&b));
-    assert!(!may_order(&a), "its renewal is old by its own clock");
+    assert!(!may_order(&a), "its renewal is too old by its own clock");
     run(&clock, &[&a, &b], 2_000);
     assert!(may_order(&b) && !may_order(&a));
 }
@@ -93,7 +93,7 @@
     for round in 0..4_000_u64 {
         advance(&clock, 50);
         for (n, d) in daemons.iter().enumerate() {
-            // A different daemon is cut off, or loses answers, every few seconds.
+            // Every few seconds, another daemon loses the store or the responses to its calls.
             let fault = match (round / 130) % 7 {
                 k if k as usize == n => StoreFault::Silent,
                 k if k as usize == n + 3 => StoreFault::LosesAnswers,
@@ -103,12 +103,16 @@
             d.keep();
         }
         let ordering: Vec<usize> = (0..3).filter(|n| may_order(&daemons[*n])).collect();
-        assert!(ordering.len() <= 1, "at {round}: {ordering:?}");
+        assert!(ordering.len() <= 1, "several daemons may order in round {round}: {ordering:?}");
         if let Some(n) = ordering.first() {
             if let Some((before, at)) = last
                 && before != *n
             {
-                assert!(clock.now().since(at) >= TURN, "turns in {:?}", clock.now().since(at));
+                assert!(
+                    clock.now().since(at) >= HANDOVER_INTERVAL,
+                    "handover within {:?}",
+                    clock.now().since(at)
+                );
             }
             last = Some((*n, clock.now()));
         }
@@ -129,14 +133,14 @@
     a.door.set(fault);
     run(&clock, &[&a], 1_700);
     if fault == StoreFault::LosesAnswers {
-        // A conflict shows its own row, which is as good as an answer.
+        // After a lost response, a conflict returns the daemon's own row, which confirms its write.
         run(&clock, &[&a], 1_000);
         return;
     }
     assert!(!may_order(&a));
     a.door.set(StoreFault::None);
     run(&clock, &[&a], 1_000);
-    assert!(may_order(&a), "nobody else took it meanwhile");
+    assert!(may_order(&a), "no other daemon has taken the lease over");
 }
 
 #[test]
@@ -145,10 +149,10 @@
     let store = FakeStore::new();
     let a = Daemon::new("a", &store, &clock);
     run(&clock, &[&a], 1_000);
-    let again = Daemon::new("a", &store, &clock);
-    again.keep();
-    assert!(may_order(&again));
-    assert!(again.lease.fence() > a.fence_seen());
+    let new_run = Daemon::new("a", &store, &clock);
+    new_run.keep();
+    assert!(may_order(&new_run));
+    assert!(new_run.lease.fence() > a.fence_seen());
 }
 
 #[test]
@@ -158,29 +162,33 @@
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 1_000);
     a.keeper.release();
-    let released = clock.now();
+    let released_at = clock.now();
     assert!(!may_order(&a));
-    // The released daemon drains and takes nothing any more.
-    let ordered = until_it_may_order(&clock, &b);
-    let span = ordered.since(released);
-    assert!(span >= TURN && span < TURN + lease::TAKEOVER_TIMEOUT, "{span:?}");
+    // The daemon that released the lease drains and does not take it again.
+    let may_order_at = until_it_may_order(&clock, &b);
+    let elapsed = may_order_at.since(released_at);
+    assert!(
+        elapsed >= HANDOVER_INTERVAL && elapsed < HANDOVER_INTERVAL + lease::TAKEOVER_TIMEOUT,
+        "{elapsed:?}"
+    );
 }
 
 #[test]
-fn target_that_nobody_ordered_need_not_wait_for_the_dead_holder() {
+fn target_without_orders_need_not_wait_for_the_dead_holder() {
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 2_000);
-    let died = clock.now();
+    let died_at = clock.now();
     let other = TargetName::from("other");
-    while b.keeper.add_target(&other).is_none() && clock.now().since(died) < Duration::from_secs(9)
+    while b.keeper.add_target(&other).is_none()
+        && clock.now().since(died_at) < Duration::from_secs(9)
     {
         run(&clock, &[&b], 50);
     }
-    let span = clock.now().since(died);
-    assert!(span < lease::TAKEOVER_TIMEOUT + Duration::from_millis(600), "{span:?}");
-    assert!(!may_order(&b), "the dead holder may have ordered this one");
+    let elapsed = clock.now().since(died_at);
+    assert!(elapsed < lease::TAKEOVER_TIMEOUT + Duration::from_millis(600), "{elapsed:?}");
+    assert!(!may_order(&b), "the dead holder may have sent orders to this target");
 }
 
 #[test]
@@ -195,13 +203,13 @@
         run(&clock, &[&b], 50);
     }
     b.keeper.release();
-    let ordered = until_it_may_order(&clock, &c);
-    let span = ordered.since(last);
-    assert!(span >= TURN, "{span:?}");
+    let may_order_at = until_it_may_order(&clock, &c);
+    let elapsed = may_order_at.since(last);
+    assert!(elapsed >= HANDOVER_INTERVAL, "{elapsed:?}");
 }
 
 #[test]
-fn new_run_on_the_same_host_keeps_the_span_of_another_holder() {
+fn new_run_on_the_same_host_keeps_the_handover_interval_of_another_holder() {
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
@@ -210,10 +218,10 @@
     while !b.lease.is_mine() {
         run(&clock, &[&b], 50);
     }
-    let again = Daemon::new("b", &store, &clock);
-    let ordered = until_it_may_order(&clock, &again);
-    let span = ordered.since(last);
-    assert!(span >= TURN, "{span:?}");
+    let new_run = Daemon::new("b", &store, &clock);
+    let may_order_at = until_it_may_order(&clock, &new_run);
+    let elapsed = may_order_at.since(last);
+    assert!(elapsed >= HANDOVER_INTERVAL, "{elapsed:?}");
 }
 
 #[test]
@@ -223,13 +231,13 @@
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 2_000);
     let last = clock.now();
-    let again = Daemon::new("a", &store, &clock);
-    // The new run takes the lease and gives it up before it has ordered anything.
-    again.keeper.step();
-    again.keeper.release();
-    let ordered = until_it_may_order(&clock, &b);
-    let span = ordered.since(last);
-    assert!(span >= TURN, "{span:?}");
+    let new_run = Daemon::new("a", &store, &clock);
+    // The new run takes the lease and releases it before it has sent an order.
+    new_run.keeper.step();
+    new_run.keeper.release();
+    let may_order_at = until_it_may_order(&clock, &b);
+    let elapsed = may_order_at.since(last);
+    assert!(elapsed >= HANDOVER_INTERVAL, "{elapsed:?}");
 }
 
 #[test]
@@ -243,7 +251,7 @@
     run(&clock, &[&slow, &fast], 2_000);
     assert!(fast.lease.is_mine() && !slow.lease.is_mine());
     run(&clock, &[&slow], 6_000);
-    assert!(slow.lease.is_mine(), "the other one is dead");
+    assert!(slow.lease.is_mine(), "the other daemon has stopped");
 }
 
 #[test]
@@ -257,7 +265,7 @@
 }
 
 #[test]
-fn holders_are_the_same_for_all() {
+fn other_daemons_know_the_name_of_the_holder() {
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
