--- a/crates/tansyknot-fleet/examples/plan.rs
+++ b/crates/tansyknot-fleet/examples/plan.rs
@@ -20,14 +20,14 @@
     target::{LoadedModel, Target, TargetState},
 };
 
-/// Rounds timed for each size; the middle one is printed.
+/// Rounds timed for each size; the median is printed.
 const ROUNDS: usize = 15;
-/// One model in this many is waited for.
-const WAITED_EVERY: usize = 10;
-/// Models on the disk of a target: 1,200 GB of some 62 GB each.
-const ON_DISK: usize = 19;
+/// Requests wait for each model whose number is a multiple of this.
+const WAITING_MODEL_STEP: usize = 10;
+/// Models on the disk of a target: 1,200 GB at about 62 GB each.
+const MODELS_ON_DISK: usize = 19;
 
-/// Targets and models of a deployment.
+/// Numbers of targets and models of a deployment.
 #[derive(Clone, Copy)]
 struct Size {
     targets: usize,
@@ -41,12 +41,12 @@
         let size = Size { targets, models };
         let mut times: Vec<(Duration, usize)> = (0..ROUNDS).map(|_| round(size)).collect();
         times.sort();
-        let (middle, tasks) = times[ROUNDS / 2];
-        println!("{targets} {models} {:.2} {tasks}", middle.as_secs_f64() * 1000.0);
+        let (median, tasks) = times[ROUNDS / 2];
+        println!("{targets} {models} {:.2} {tasks}", median.as_secs_f64() * 1000.0);
     }
 }
 
-/// Plans one round with fresh demand; returns how long it took and how many tasks it made.
+/// Plans one round with new demand; returns its duration and the number of its tasks.
 fn round(size: Size) -> (Duration, usize) {
     let catalog = catalog(size);
     let targets: Vec<Arc<Target>> = (0..size.targets).map(|n| Arc::new(target(n, size))).collect();
@@ -63,7 +63,7 @@
 }
 
 fn catalog(size: Size) -> Catalog {
-    let about = |n: usize| Model {
+    let definition = |n: usize| Model {
         name: model(n),
         memory_mb: [34_300.0, 65_500.0, 72_700.0][n % 3],
         load_remote: Duration::from_secs(6),
@@ -72,7 +72,7 @@
         adapter_mb: 40.0,
     };
     let models: HashMap<ModelName, Model> =
-        (0..size.models).map(|n| (model(n), about(n))).collect();
+        (0..size.models).map(|n| (model(n), definition(n))).collect();
     let engine = Engine {
         slots: 64,
         cache_tokens: 232_000,
@@ -99,9 +99,9 @@
 }
 
 fn target(n: usize, size: Size) -> Target {
-    // A quarter of the models is nowhere.
-    let held = |m: usize| LoadedModel { model: model(m), adapters: Vec::new() };
-    let on_disk = (0..ON_DISK).map(|m| model((ON_DISK * n + m) % size.models));
+    // A quarter of the models is not loaded anywhere.
+    let loaded = |m: usize| LoadedModel { model: model(m), adapters: Vec::new() };
+    let on_disk = (0..MODELS_ON_DISK).map(|m| model((MODELS_ON_DISK * n + m) % size.models));
     Target {
         name: TargetName::new(format!("t{n}")),
         started_at: None,
@@ -110,20 +110,21 @@
         zone: ZoneName::from("z"),
         state: TargetState::Ready,
         slots: 64,
-        models: [2 * n, 2 * n + 1].map(|m| held(m % (size.models * 3 / 4))).to_vec(),
+        models: [2 * n, 2 * n + 1].map(|m| loaded(m % (size.models * 3 / 4))).to_vec(),
         in_memory: Vec::new(),
         on_disk: on_disk.collect(),
         version: 1,
     }
 }
 
-/// Every model is asked for; some are waited for, and half of the targets have a request.
+/// Returns demand for every model: requests wait for some, and half of the targets have a request in
+/// flight.
 fn demand(size: Size) -> Demand {
-    let one = |n: usize| ModelUse {
+    let model_use = |n: usize| ModelUse {
         service: ServiceName::from("s"),
         model: model(n),
         adapter: None,
-        waiting: u16::from(n.is_multiple_of(WAITED_EVERY)),
+        waiting: u16::from(n.is_multiple_of(WAITING_MODEL_STEP)),
         arrived: 1,
     };
     let busy = |n: usize| InFlight {
@@ -138,7 +139,7 @@
         zone: "z1".into(),
         link_mbps: None,
         received: ReceivedState::default(),
-        models: (0..size.models).map(one).collect(),
+        models: (0..size.models).map(model_use).collect(),
         poison: Default::default(),
         crashes: Vec::new(),
         signals: Vec::new(),
--- a/crates/tansyknot-fleet/examples/poison.rs
+++ b/crates/tansyknot-fleet/examples/poison.rs
@@ -1,4 +1,4 @@
-//! Times what each request costs for being told from poison requests, for docs/DECISIONS.md.
+//! Times what the detection of poison requests costs per request, for docs/DECISIONS.md.
 
 use std::{
     hint::black_box,
@@ -27,22 +27,22 @@
     let now = Time::default() + Duration::from_secs(60);
     for suspected in [0, 100, 4096] {
         let mut poison = suspecting(suspected, now);
-        let look = |n| {
+        let look_up = |n| {
             black_box(poison.is_convicted(RequestKey(n)));
         };
-        println!("look_up_among_{suspected} {}", nanos(look));
+        println!("look_up_among_{suspected} {}", nanos(look_up));
         let mut poison = suspecting(suspected, now);
-        let answer = |n| poison.answered(RequestKey(n), RunKey(1), now, now);
-        println!("answer_among_{suspected} {}", nanos(answer));
+        let record_answer = |n| poison.answered(RequestKey(n), RunKey(1), now, now);
+        println!("answer_among_{suspected} {}", nanos(record_answer));
     }
 }
 
 fn request(bytes: usize) -> Request {
-    let (head, _) = head::parse(HEAD.as_bytes()).expect("a proper head").expect("a whole head");
+    let (head, _) = head::parse(HEAD.as_bytes()).expect("a valid head").expect("a complete head");
     Request { head, body: vec![7; bytes] }
 }
 
-/// Returns what a daemon knows that suspects so many requests, 64 of each crash.
+/// Returns the state of a daemon that suspects `requests` requests, 64 for each crash.
 fn suspecting(requests: u64, now: Time) -> Poison {
     let mut poison = Poison::default();
     for n in 0..requests {
