--- a/crates/tansyknot-fleet/src/access/account.rs
+++ b/crates/tansyknot-fleet/src/access/account.rs
@@ -8,7 +8,7 @@
 
 /// Recent use is recorded in steps of this length.
 const STEP_LENGTH: Duration = Duration::from_millis(50);
-/// The longest wait that a team over its quota is told.
+/// The longest wait that is reported to a team over its quota.
 const MAX_WAIT: Duration = Duration::from_secs(4);
 
 /// Time constant by which refused units decay: callers retry refused requests within about this
@@ -109,8 +109,8 @@
     }
 
     /// Takes `units`. A request for more than the burst can't accumulate its units, and is granted
-    /// once the account is full. A request for more than a whole window yields is never granted: it
-    /// would block its team for as long as its stated size takes.
+    /// once the account is full. A request for more than a whole window yields is never granted:
+    /// the team's other requests would be refused until the account has refilled its stated units.
     pub fn take(&mut self, units: f64, now: Time) -> Outcome {
         self.drop_old_steps(now);
         if units > self.quota.rate * self.window.as_secs_f64() + self.capacity {
--- a/crates/tansyknot-fleet/src/access/lending.rs
+++ b/crates/tansyknot-fleet/src/access/lending.rs
@@ -30,7 +30,8 @@
 /// By this time after the accounts are opened, daemons have reported what they used of an earlier
 /// planner's shares.
 const SETTLING_PERIOD: Duration = Duration::from_millis(1500);
-/// Accounts that were not maintained for this long are opened anew: the planner was absent.
+/// Accounts that were not maintained for this long are replaced by new ones: the planner was
+/// absent.
 const MAX_MAINTENANCE_GAP: Duration = Duration::from_millis(1500);
 /// How often the refusals for a team's quota are logged.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/tansyknot-fleet/src/access/message.rs
+++ b/crates/tansyknot-fleet/src/access/message.rs
@@ -28,7 +28,7 @@
 }
 
 /// When a daemon sent a message, by its own clock, and the run of the daemon that sent it. A reply
-/// to an earlier run proves nothing to a later one, whose clock starts anew.
+/// to an earlier run proves nothing to a later one, whose clock has another origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// A random number that identifies the run.
--- a/crates/tansyknot-fleet/src/backpressure.rs
+++ b/crates/tansyknot-fleet/src/backpressure.rs
@@ -143,9 +143,9 @@
     pub received: Time,
 }
 
-/// One response, identified across daemons. At a daemon that another one has sent it to, its times
-/// appear later than they were, by the time in transit, so `id` tells it apart from later
-/// responses.
+/// One response, identified across daemons. A daemon that receives it from another one estimates
+/// its times from its age, too late by the time in transit. `id` therefore shows whether two
+/// records are of the same response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseId {
     /// Identifies the response.
--- a/crates/tansyknot-fleet/src/backpressure/message.rs
+++ b/crates/tansyknot-fleet/src/backpressure/message.rs
@@ -103,7 +103,7 @@
     pub verdict: PermitVerdict,
 }
 
-/// Cancels a [`PermitQuery`], whose request needs no permit any more.
+/// Cancels a [`PermitQuery`], whose request no longer needs a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitCancel {
     /// Identifies the request.
--- a/crates/tansyknot-fleet/src/backpressure/pending.rs
+++ b/crates/tansyknot-fleet/src/backpressure/pending.rs
@@ -45,7 +45,7 @@
     SendDue,
     /// The permit request waits for its reply.
     Waiting {
-        /// When the permit is expected, if a reply has told it.
+        /// When the permit is expected, if a reply has stated it.
         expected: Option<Time>,
     },
 }
--- a/crates/tansyknot-fleet/src/backpressure/run_state.rs
+++ b/crates/tansyknot-fleet/src/backpressure/run_state.rs
@@ -42,7 +42,7 @@
 pub enum Change {
     /// The target limits its rate to this.
     Limited(Rate),
-    /// The target has no rate limit any more.
+    /// The target no longer has a rate limit.
     Unlimited,
     /// The target is draining.
     Leaves,
@@ -177,8 +177,8 @@
         (!was_leaving).then_some(Change::Leaves)
     }
 
-    /// Applies a retry delay. A shorter one does not end a longer one: nothing was sent meanwhile
-    /// whose response could be newer.
+    /// Applies a retry delay. A shorter one does not replace a longer one: no request is sent
+    /// during a delay, so its response is not newer than the one that set the longer delay.
     fn set_retry_delay(&mut self, duration: Duration, now: Time) -> Option<Change> {
         let duration = duration.min(MAX_RETRY_DELAY);
         let until = now + duration;
--- a/crates/tansyknot-fleet/src/backpressure/scheduler.rs
+++ b/crates/tansyknot-fleet/src/backpressure/scheduler.rs
@@ -18,18 +18,18 @@
 
 /// The fraction of a limit that is granted: requests arrive closer together than they were granted.
 const GRANTED_FRACTION: f64 = 0.95;
-/// The fraction of a limit that is granted without a planner: two daemons may differ in the daemons
-/// they know, and both schedule.
+/// The fraction of a limit that is granted without a planner: two daemons with different lists of
+/// peers may both grant permits for a target.
 const FALLBACK_FRACTION: f64 = GRANTED_FRACTION / 2.0;
-/// A grant that is late by up to this much is made up for.
+/// A grant that is late by up to this much does not delay the following grants.
 const MAX_CATCH_UP: Duration = Duration::from_millis(100);
 /// A permit request that is not repeated within this time is dropped.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long grants are stored. A grant may have been lost, and a request that is repeated within
 /// this time is granted again.
 const GRANT_RETENTION: Duration = Duration::from_millis(500);
-/// Another daemon that scheduled before may go on for this long, until it receives a message from
-/// this one.
+/// A daemon that granted permits before may continue for this long, until it receives a message
+/// from the one that grants them now.
 const HANDOVER_DELAY: Duration = Duration::from_millis(500);
 /// The maximum number of requests that wait for one target; beyond it, the last one in order is
 /// dropped.
--- a/crates/tansyknot-fleet/src/budget.rs
+++ b/crates/tansyknot-fleet/src/budget.rs
@@ -32,12 +32,12 @@
 impl Allotment {
     /// Returns whether the daemon has run for a full window.
     ///
-    /// The daemon's previous process may have spent its whole allotment just before it ended,
-    /// including the ratio for the requests of that window. So a daemon that has not run for a
-    /// window has no slack, and for its first sends only the share of the ratio that settled
-    /// daemons leave unused. With their full slack after a restart, six daemons that were killed
-    /// together made 194 retries in 10 s where 142 were allowed; with the full ratio, nine made 248
-    /// where 245 were allowed.
+    /// The daemon's previous process may have spent its whole allotment just before it ended, both
+    /// the slack and what the ratio allows for the first sends of that window. So a daemon that has
+    /// not run for a window has no slack, and for its first sends only the share of the ratio that
+    /// settled daemons leave unused. With their full slack after a restart, six daemons that are
+    /// killed together make 194 retries in 10 s where 142 are allowed; with the full ratio, nine
+    /// make 248 where 245 are allowed.
     fn is_settled(&self, options: &BudgetOptions) -> bool {
         self.uptime >= options.window
     }
--- a/crates/tansyknot-fleet/src/dissemination/changes.rs
+++ b/crates/tansyknot-fleet/src/dissemination/changes.rs
@@ -143,7 +143,7 @@
         self.after < version && version < self.version
     }
 
-    /// Returns the range of versions that both reads together leave out.
+    /// Returns the smallest range of versions that contains the ranges of both reads.
     pub fn merge(self, earlier: Self) -> Self {
         Self { after: earlier.after.min(self.after), version: earlier.version.max(self.version) }
     }
@@ -185,7 +185,9 @@
 pub struct ListUpdate {
     /// The number before the first change.
     pub from: u64,
-    /// The version of the store as of which every change up to `from` holds.
+    /// The newest version of the store among the changes up to `from`. A daemon that has the list
+    /// as of this version or a later one can apply the update without them; with `u64::MAX`, none
+    /// can.
     pub base: u64,
     /// The number of the last change.
     pub to: u64,
@@ -238,7 +240,7 @@
     last: u64,
     /// Changes up to this number are no longer retained.
     floor: u64,
-    /// The version of the store as of which those changes hold.
+    /// The newest version of the store among the changes up to `floor`.
     floor_version: u64,
     /// The newest version of the store among all changes.
     newest_version: u64,
@@ -323,7 +325,7 @@
         Some(newer.map_or(self.last, |(number, _)| number - 1))
     }
 
-    /// Returns the version of the store as of which every change up to `number` holds.
+    /// Returns the newest version of the store among the changes up to `number`.
     fn base(&self, number: u64) -> u64 {
         if self.is_unread {
             return u64::MAX;
--- a/crates/tansyknot-fleet/src/dissemination/message.rs
+++ b/crates/tansyknot-fleet/src/dissemination/message.rs
@@ -28,7 +28,7 @@
     pub model: ModelName,
     /// The adapter; `None` stands for the model without one.
     pub adapter: Option<AdapterName>,
-    /// The number of requests that wait for a load.
+    /// The number of requests that wait for a load, or for a further replica of the model.
     pub waiting: u16,
     /// The number of requests since the daemon started.
     pub arrived: u32,
@@ -45,14 +45,15 @@
     pub count: u16,
 }
 
-/// A state of a target that precedes the list: the planner has ordered it, or received it first.
+/// A state of a target that takes precedence over the list: the planner has ordered it, or has
+/// received it before the list shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetOverride {
     /// The target.
     pub target: TargetName,
     /// When the target's run started, if the target reports it.
     pub started_at: Option<StartTime>,
-    /// Rises with each override that a planner makes of the target.
+    /// Rises with each override that a planner makes, of any target.
     pub revision: u64,
     /// Whether the target accepts new requests.
     pub state: TargetState,
@@ -205,7 +206,7 @@
 }
 
 impl Message {
-    /// Splits a message into two with the same content together; `None` if it has fewer than two
+    /// Splits a message into two that together have its content; `None` if it has fewer than two
     /// items.
     pub(super) fn split(self) -> Option<(Self, Self)> {
         match self {
--- a/crates/tansyknot-fleet/src/dissemination/peers.rs
+++ b/crates/tansyknot-fleet/src/dissemination/peers.rs
@@ -9,7 +9,8 @@
 use super::{heartbeat::HEARTBEAT_INTERVAL, relays};
 
 /// The planner announces every daemon once within this time, some of them with each heartbeat. A
-/// daemon that started this long ago has the full list, and could take the lease.
+/// daemon that started this long ago has the full list, and thus its recipients if it becomes the
+/// planner.
 pub const PEER_LIST_PERIOD: Duration = Duration::from_secs(5);
 /// A daemon that was not announced for this long is removed. Two rounds of announcements may be
 /// lost.
--- a/crates/tansyknot-fleet/src/dissemination/planner_view.rs
+++ b/crates/tansyknot-fleet/src/dissemination/planner_view.rs
@@ -34,7 +34,8 @@
 /// replaces earlier ones; an earlier change that arrives late must not undo it.
 #[derive(Clone, Debug, Default)]
 struct OutOfOrder {
-    /// The numbers received: each range's last number, by the number before its first.
+    /// The ranges of received numbers: the last number of each range, by the number before its
+    /// first.
     ranges: BTreeMap<u64, u64>,
     /// The number of the last applied change of each subject among them.
     applied: HashMap<Subject, u64>,
@@ -83,7 +84,8 @@
     last_seen: Time,
     /// The daemon has every change up to this number.
     number: Option<u64>,
-    /// The newest number. A call to the store that begins now returns every change up to it.
+    /// The number of the newest change that the planner has announced. A call to the store that
+    /// begins now returns every change up to it.
     newest: u64,
     /// Since when published changes are missing.
     missing_since: Option<Time>,
--- a/crates/tansyknot-fleet/src/fleet.rs
+++ b/crates/tansyknot-fleet/src/fleet.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Counts a request that starts to wait for a load.
+    /// Counts a request that starts to wait for a load, or for a further replica of its model.
     pub fn begin_waiting(&mut self, want: &TargetRequirements<'_>, now: Time) {
         let Some(key) = use_keys(want).pop() else { return };
         let u = self.uses.entry(key).or_default();
@@ -259,7 +259,7 @@
         u.last_request = now;
     }
 
-    /// Removes a request that no longer waits for a load from the count.
+    /// Removes a request that no longer waits for a load or replica from the count.
     pub fn end_waiting(&mut self, want: &TargetRequirements<'_>) {
         let Some(key) = use_keys(want).pop() else { return };
         if let Some(u) = self.uses.get_mut(&key) {
--- a/crates/tansyknot-fleet/src/fleet/list.rs
+++ b/crates/tansyknot-fleet/src/fleet/list.rs
@@ -81,9 +81,9 @@
     /// Records that the store responds again after an outage. The last failed call began at
     /// `last_failed_call`.
     ///
-    /// The store may have been available throughout, with only this daemon disconnected. Removed
-    /// entries are therefore retained no longer than until the daemon is held to the bounds again,
-    /// for which the recovery time is counted from that call at the earliest.
+    /// The store may have been available throughout, with only this daemon disconnected. The
+    /// recovery time, after which the daemon must meet the bounds again, is therefore counted from
+    /// that call at the earliest, and removed entries are retained no longer than that.
     pub fn store_returned(&mut self, last_failed_call: Time, now: Time) {
         self.list.assume_expired_until =
             (now + EXPIRY_GRACE).min(last_failed_call + self.spans.recovery);
@@ -231,7 +231,8 @@
             return None;
         }
         if m.entry.started_at.is_some() && target.started_at.is_none() {
-            // Another writer wrote this entry, which names no target.
+            // The earlier entry had a start time: another writer has replaced it by one that
+            // describes no target.
             return self.remove_entry(Removal { name: target.name, version: target.version }, now);
         }
         let has_changed = m.deferred_removal.is_some() || !entry.equals_except_version(&m.entry);
--- a/crates/tansyknot-fleet/src/follow/config.rs
+++ b/crates/tansyknot-fleet/src/follow/config.rs
@@ -51,7 +51,7 @@
     /// The wait is halved in fleets whose planner sends its updates through relays. The view that a
     /// failed planner published last is then fresher, so that hundreds of daemons need not call the
     /// store before the next planner's updates arrive. With the full wait, the loss of a planner
-    /// caused 275 calls from 294 daemons.
+    /// causes 275 calls from 294 daemons.
     fn wait(&mut self) -> Duration {
         let max_wait = if self.state.requires_keys() { MAX_WAIT_WITH_KEYS } else { Duration::MAX };
         let wait = self.state.spans.config_wait.min(max_wait);
--- a/crates/tansyknot-fleet/src/follow/contact.rs
+++ b/crates/tansyknot-fleet/src/follow/contact.rs
@@ -14,7 +14,7 @@
 
 /// Timeout of the first read of a table. The platform states 4 ms for a response, and up to 60
 /// times that when the store is slow; a read that times out is retried. With a timeout of 2 s for
-/// every read, a daemon that started during an outage noticed the store's return 1.4 s late.
+/// every read, a daemon that starts during an outage notices the store's return 1.4 s late.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum timeout of a read; each timeout is twice the one before. About 120 kB for 94 targets
 /// take 0.1 s over an idle link of 10 Mbit/s.
--- a/crates/tansyknot-fleet/src/follow/list.rs
+++ b/crates/tansyknot-fleet/src/follow/list.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Makes the next call read the full list, including what updates leave out.
+    /// Makes the next call read the full list, including the fields that the planner's updates
+    /// omit.
     pub fn request_full_read(&mut self) {
         self.reads_full_list = true;
     }
--- a/crates/tansyknot-fleet/src/freshness.rs
+++ b/crates/tansyknot-fleet/src/freshness.rs
@@ -5,7 +5,8 @@
 /// The platform's guarantees and requirements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The time after which a leaving target must get no new requests, from when its entry says so.
+    /// Maximum time from when a target's entry shows that it is draining until it gets no new
+    /// requests.
     pub leave_within: Duration,
     /// The time within which an accepted configuration must be in force.
     pub config_within: Duration,
@@ -37,12 +38,13 @@
 const CONFIG_FRESH_SHARE: f64 = 0.8;
 /// The share of `config_within` for which a call that follows the configuration may wait.
 const CONFIG_WAIT_SHARE: f64 = 0.5;
-/// Maximum age of an entry in heartbeats, during which an override precedes the list.
+/// How long an override takes precedence over the list, in heartbeats: the maximum age of an entry.
 const OVERRIDE_HEARTBEATS: u32 = 2;
-/// An entry expires three heartbeats after its last renewal, which may be up to one heartbeat
-/// before an outage.
+/// The length of an outage of the store, in heartbeats, after which entries may have expired. An
+/// entry expires three heartbeats after its last renewal, which may be up to one heartbeat before
+/// the outage.
 const EXPIRY_HEARTBEATS: u32 = 2;
-/// The time that the store and the network take in addition.
+/// Added to the duration of an override, for the delays of the store and the network.
 const OVERRIDE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The time that a deferred removal takes to be published and to reach requests.
--- a/crates/tansyknot-fleet/src/lease.rs
+++ b/crates/tansyknot-fleet/src/lease.rs
@@ -52,8 +52,8 @@
     pub fence: u64,
     /// Whether the holder has stopped sending orders for good.
     pub released: bool,
-    /// The targets to which the holder may send orders, each with the time in milliseconds since it
-    /// last could when the row was written.
+    /// The targets to which the holder may send orders. Each has the time in milliseconds, as of
+    /// the writing of the row, since the holder last added it to the row or sent it an order.
     #[serde(default)]
     pub covers: BTreeMap<TargetName, u64>,
     /// Targets to which an earlier holder may have sent orders, each with its remaining cooldown in
@@ -104,7 +104,8 @@
 struct HeldLease {
     fence: u64,
     renewed: Time,
-    /// Targets that the row names, each with the last time at which this holder sent it an order.
+    /// Targets that the row names, each with the last time at which this holder added it to the row
+    /// or sent it an order.
     covered: HashMap<TargetName, Time>,
     /// Targets of earlier holders, each with the end of its cooldown.
     cooldown_ends: HashMap<TargetName, Time>,
--- a/crates/tansyknot-fleet/src/lease_keeper.rs
+++ b/crates/tansyknot-fleet/src/lease_keeper.rs
@@ -189,8 +189,8 @@
 
 /// How long a reluctant daemon leaves a free lease to others. A read of the row and a claim take
 /// about 0.5 s each when the store is 60 times slower than usual. With a delay of 0.9 s, a host
-/// with 0.12 cores and a link of 20 Mbit/s then became the planner of 295 daemons, and its rounds
-/// took up to 171 ms instead of 18 ms.
+/// with 0.12 cores and a link of 20 Mbit/s can then become the planner of 295 daemons, and its
+/// rounds take up to 171 ms instead of 18 ms.
 const RELUCTANT_DELAY: Duration = Duration::from_millis(2000);
 
 /// Maintains the lease for one daemon.
@@ -432,7 +432,7 @@
 /// Decodes the row; a row that cannot be decoded counts as that of an unknown holder.
 ///
 /// The row's version serves as the unknown holder's fencing token: versions of the store rise with
-/// every write, and no token has ever been above them.
+/// every write, and no fencing token exceeds them.
 fn decode(row: &StoreRow, options: LeaseOptions) -> LeaseHolder {
     serde_json::from_slice(&row.value).unwrap_or_else(|e| {
         event::FLEET_BAD_ENTRY.emit(&[("error", &e)]);
--- a/crates/tansyknot-fleet/src/peering/planning.rs
+++ b/crates/tansyknot-fleet/src/peering/planning.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// Leaves out targets with a limit, whose throughput is too low to place models by. Those of a
-/// service without a ready target that has no limit stay.
+/// Leaves out targets with a rate limit, because a model that is placed there can serve few
+/// requests. If all ready targets of a service have limits, its targets are not left out.
 fn without_limited(targets: Vec<Arc<Target>>, limited: &[TargetName]) -> Vec<Arc<Target>> {
     if limited.is_empty() {
         return targets;
--- a/crates/tansyknot-fleet/src/peering/publishing.rs
+++ b/crates/tansyknot-fleet/src/peering/publishing.rs
@@ -23,23 +23,24 @@
 };
 
 /// Updates between two heartbeats carry all loads if these make no more entries than this, summed
-/// over all daemons: about 7 KB. Nine daemons and targets make 81 entries. Where there were 6,900,
-/// full loads took half of all bytes between zones.
+/// over all daemons: about 7 KB. Nine daemons and targets make 81 entries. In a fleet that makes
+/// 6,900 entries, full loads in each update take half of all bytes between zones.
 const MAX_FULL_LOAD_ENTRIES: usize = 500;
-/// A load that changes by fewer requests is not published before the next heartbeat. With loads
-/// in heartbeats only, these were too old at 77 daemons: 87 % of the requests with an objective of
-/// 0.3 s were in time, instead of 91 %. All loads in each update doubled the bytes between zones.
+/// A load that changes by fewer requests is not published before the next heartbeat. With loads in
+/// heartbeats only, loads are too old in a fleet of 77 daemons: 87 % of the requests with an
+/// objective of 0.3 s are in time, instead of 91 %. All loads in each update double the bytes
+/// between zones.
 const MIN_LOAD_CHANGE: u16 = 2;
 /// Maximum number of loads in an update between two heartbeats, those that changed most: half a
-/// datagram. At 264 targets, nearly all loads change each time; all of them took a third of the
-/// bytes to each daemon.
+/// datagram. At 264 targets, nearly all loads change each time, and sending all of them takes a
+/// third of the bytes to each daemon.
 const MAX_CHANGED_LOADS: usize = 40;
 /// A new planner begins with the changes that it recorded within this window. The previous planner
 /// was active until 1.5 to 2.3 s ago and published earlier changes; a daemon that lacks one
 /// reports it.
 const UNPUBLISHED_WINDOW: Duration = Duration::from_millis(3000);
-/// A new planner gets everything that it may not have received for this long: a few heartbeats, as
-/// datagrams may be lost.
+/// How long after a change of the planner a daemon's demand contains all signals that it has,
+/// because the new planner may lack them: a few heartbeats, as datagrams may be lost.
 const NEW_PLANNER_WINDOW: Duration = Duration::from_millis(1000);
 /// A pending load whose due time changes by less is not published before the next heartbeat.
 const DUE_TIME_TOLERANCE: Duration = Duration::from_millis(200);
@@ -49,7 +50,7 @@
 pub(super) struct Published {
     /// The revision of each target's override that was published last.
     override_revisions: HashMap<TargetName, u64>,
-    /// The published number of the last change, and the published configuration version.
+    /// The number of the last change and the version of the configuration, as published last.
     versions: (u64, u64),
     /// The sequence number of the last demand or update.
     seq: u32,
@@ -117,7 +118,7 @@
     }
 
     /// Returns the loads that have changed most since they were published, including those of
-    /// targets that have no requests any more.
+    /// targets that no longer have requests.
     fn changed_loads(&mut self, loads: Vec<TargetLoad>) -> Vec<TargetLoad> {
         let mut current: HashMap<TargetName, u16> = HashMap::with_capacity(loads.len());
         current.extend(loads.into_iter().map(|load| (load.target, load.requests)));
--- a/crates/tansyknot-fleet/src/plan.rs
+++ b/crates/tansyknot-fleet/src/plan.rs
@@ -35,7 +35,7 @@
 use round::{ModelView, ReachableTarget, Round, Scope};
 pub use tier::Tier;
 
-/// The upper limit on the requests in flight per copy above which another copy is loaded.
+/// The maximum number of requests in flight per copy; above it, another copy is loaded.
 const MAX_REQUESTS_PER_COPY: f64 = 20.0;
 /// The same limit as a share of an engine's slots, which its other models need too. With a share of
 /// 0.45, queries are late more often.
@@ -55,7 +55,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The urgency of a model that no target holds, if the waiting requests can still be on time.
 const ON_TIME_URGENCY: f64 = 1000.0;
-/// The urgency of a model that no target holds, if the waiting requests can't be on time any more.
+/// The urgency of a model that no target holds, if the waiting requests can no longer be on time.
 const LATE_URGENCY: f64 = 500.0;
 /// Requests that have waited this long although there are copies can't use those copies. A timeout
 /// of 0.6 s, two heartbeat intervals, orders loads for requests that are already on their way to a
--- a/crates/tansyknot-fleet/src/plan/place.rs
+++ b/crates/tansyknot-fleet/src/plan/place.rs
@@ -18,7 +18,7 @@
 /// reported within 0.1 s.
 const OVERDUE_TASK_REMAINING: Duration = Duration::from_millis(100);
 /// The cost of evicting a model that gets one request per second, in seconds of load time: loading
-/// it again from disk takes about 0.5 s and a place in a target's queue.
+/// it again from disk takes about 0.5 s, and the load delays others at its target.
 const EVICTION_LOSS_S: f64 = 0.7;
 /// The factor on [`EVICTION_LOSS_S`] for a copy that is not needed.
 const SPARE_COPY_WEIGHT: f64 = 0.1;
--- a/crates/tansyknot-fleet/src/plan/round.rs
+++ b/crates/tansyknot-fleet/src/plan/round.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one round plans for.
+/// The service that one round plans for, and the time of the round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scope<'a> {
     pub(super) service: &'a ServiceName,
--- a/crates/tansyknot-fleet/src/platform_api.rs
+++ b/crates/tansyknot-fleet/src/platform_api.rs
@@ -160,7 +160,7 @@
 pub enum OrderReply {
     /// The target executes the order.
     Accepted,
-    /// The order's result already holds, or was reached at once.
+    /// The target already had the result of the order, or reached it immediately.
     Done,
     /// Another order is being executed, or the number of accepted orders differs.
     Conflict,
@@ -217,7 +217,7 @@
     pub tokens: u32,
 }
 
-/// The sender of a request as a target is told.
+/// The sender of a request, as the target receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestSender<'a> {
     /// Teams are not configured, and the caller's own header lines have no meaning here.
--- a/crates/tansyknot-fleet/src/poison.rs
+++ b/crates/tansyknot-fleet/src/poison.rs
@@ -33,12 +33,13 @@
 pub use crash_check::{CheckState, Presence, SuspectTarget, TargetIdentity};
 
 /// The number of crashes of different runs of targets that convicts a request. Releases, failing
-/// racks and ending hosts put one crash on requests that did not cause it, and two on few.
+/// racks and ending hosts cause crashes that count for requests that did not cause them: one crash
+/// for most of these requests, and two for few.
 pub const CRASHES_TO_CONVICT: usize = 3;
 /// The maximum number of suspected requests, about 150 bytes each. A crash makes as many requests
 /// suspected as a target has slots, up to 64.
 const MAX_SUSPECTED: usize = 4096;
-/// The maximum number of convicted requests: as many fit in the row that outlives all daemons.
+/// The maximum number of convicted requests: as many as fit in their row of the store.
 pub const MAX_CONVICTED: usize = 256;
 /// When there are too many suspected requests, the maximum divided by this number is removed at
 /// once, the least recently used first.
@@ -101,8 +102,9 @@
         is_open && self.trials.begin(key, *since, now)
     }
 
-    /// Records that a target cut off a request that was sent to it at `opened`; returns whether the
-    /// target is to be checked, which [`Poison::record_check`] ends.
+    /// Records that a target closed the connection of a request early, which was opened at
+    /// `opened`; returns whether the target is to be checked. [`Poison::record_check`] records the
+    /// result of the check.
     pub fn cut_off(&mut self, key: RequestKey, run: RunKey, opened: Time, now: Time) -> CheckState {
         if self.ended.contains_key(&run) {
             self.record_crash(key, run, now.since(opened), now);
@@ -117,8 +119,9 @@
     }
 
     /// Records what a check of a target, or a message about it, has shown. Without a sign that the
-    /// target has ended, no request is suspected: targets cut off, reset and garble responses and
-    /// go on running. Returns the number of requests that the target's end may have cut off.
+    /// target has ended, no request is suspected: a target that closes connections early, resets
+    /// them or sends malformed responses may still be running. Returns the number of requests whose
+    /// connections the target's end may have closed.
     pub fn record_check(&mut self, run: RunKey, presence: Presence, now: Time) -> usize {
         if !presence.is_end() {
             self.crash_checks.finish_check(run);
@@ -330,8 +333,8 @@
     ///
     /// A crash ends all requests of its target, and mostly one of them is the cause. Until
     /// responses show which, a crash under a convicted request does not count for other requests
-    /// that targets had run for longer. A harmful request that is cleared by mistake causes more
-    /// crashes.
+    /// that targets had run for longer. If a harmful request is cleared by mistake, it causes
+    /// further crashes, which count for it.
     fn has_just_started(&self, now: Time) -> bool {
         now.since(self.started) < served::RECENT_ANSWER_PERIOD
     }
--- a/crates/tansyknot-fleet/src/poison/crash_check.rs
+++ b/crates/tansyknot-fleet/src/poison/crash_check.rs
@@ -14,7 +14,7 @@
 /// ended target expires after three heartbeats, and the update of the list arrives up to a second
 /// later.
 const SUSPECT_DURATION: Duration = Duration::from_secs(6);
-/// When no process listens at the address any more, the target's end is blamed for requests that
+/// When no process listens at the address, the target's end is taken as the cause for requests that
 /// were cut off within this time. A request that was cut off earlier failed for another reason, and
 /// the target went on running.
 const MAX_CUT_OFF_AGE: Duration = Duration::from_secs(2);
--- a/crates/tansyknot-fleet/src/poison/evidence.rs
+++ b/crates/tansyknot-fleet/src/poison/evidence.rs
@@ -29,14 +29,14 @@
     }
 }
 
-/// A hash of the requests that a daemon convicts, and of which of them can't be tried any more:
-/// equal where two daemons agree, 0 where they convict none. It is sent with each heartbeat, so
-/// that lost messages are detected.
+/// A hash of the requests that a daemon convicts, and of which of them get no further trial: equal
+/// where two daemons agree, 0 where they convict none. It is sent with each heartbeat, so that lost
+/// messages are detected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest(u64);
 
 impl Digest {
-    /// Returns the hash of requests, each with whether it can't be tried any more.
+    /// Returns the hash of requests, each with whether it gets no further trial.
     pub(super) fn of(requests: impl Iterator<Item = (RequestKey, bool)>) -> Self {
         let hash = |(key, is_final): (RequestKey, bool)| {
             xxh3::xxh3_64_with_seed(&key.0.to_le_bytes(), u64::from(is_final))
--- a/crates/tansyknot-fleet/src/poison/keeper.rs
+++ b/crates/tansyknot-fleet/src/poison/keeper.rs
@@ -69,8 +69,8 @@
     /// has to be retried.
     ///
     /// The daemon that finds the convicting crash writes the row, and so does the planner, which is
-    /// the first to see what several daemons have found together: one of the two may be about to
-    /// end.
+    /// the first to see what several daemons have found together. With two writers, the row is
+    /// written even if one of them is about to end.
     pub fn step(&self, is_planner: bool) -> bool {
         let may_write = is_planner || self.state.poison().has_findings(self.state.now());
         may_write && self.is_outdated() && !self.write()
--- a/crates/tansyknot-fleet/src/poison/row.rs
+++ b/crates/tansyknot-fleet/src/poison/row.rs
@@ -1,4 +1,4 @@
-//! The format of the row that outlives all daemons.
+//! The format of the store's row of convicted requests, which outlives all daemons.
 
 use std::time::Duration;
 
--- a/crates/tansyknot-fleet/src/poison/served.rs
+++ b/crates/tansyknot-fleet/src/poison/served.rs
@@ -7,8 +7,8 @@
 use super::key::RequestKey;
 
 /// A request that was answered completely within this time is not suspected. A target, or its rack,
-/// may be killed while it has a request that is sent again and again. A request that becomes
-/// harmful is detected later by this time.
+/// may be killed while it has a request that is sent again and again. The detection of a request
+/// that becomes harmful is delayed by this time.
 pub(super) const RECENT_ANSWER_PERIOD: Duration = Duration::from_secs(5);
 /// The number of requests in one generation, about 40 bytes each; up to two generations are stored.
 /// One is enough for 400 requests a second at one daemon, more than any host receives.
--- a/crates/tansyknot-fleet/src/poison/trial.rs
+++ b/crates/tansyknot-fleet/src/poison/trial.rs
@@ -15,8 +15,8 @@
 /// targets may crash all the time. A trial that no target accepted may be repeated after the same
 /// time.
 const TRIAL_INTERVAL: Duration = Duration::from_secs(5);
-/// The maximum number of trials of one request by one daemon. A request may be sent three times
-/// after its third crash.
+/// The maximum number of trials of one request by one daemon. At most three sends of a request are
+/// allowed after its third crash.
 const MAX_TRIALS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/tansyknot-fleet/src/serve/signal.rs
+++ b/crates/tansyknot-fleet/src/serve/signal.rs
@@ -38,7 +38,7 @@
         let at = Interval { sent, received: self.state.now() };
         let changes = self.state.fleet().record_signals(target, &signals, outcome, at);
         if !changes.is_empty() {
-            // Wakes waiting requests and the report to the planner.
+            // Wakes waiting requests, and triggers the report to the planner.
             self.state.notify_view_changed();
         }
         changes.into_iter().for_each(|change| self.record_change(&target.name, change));
--- a/crates/tansyknot-fleet/src/serve/wait.rs
+++ b/crates/tansyknot-fleet/src/serve/wait.rs
@@ -21,7 +21,8 @@
 /// Minimum wait for the announcement of a load. The demand report and the planner's update are in
 /// transit, and a lost one is repeated with the next heartbeat.
 const MIN_ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(650);
-/// A permit that is granted within this time needs no further replica of the model.
+/// A request that gets its permit within this time causes no demand for a further replica of the
+/// model.
 const USUAL_PERMIT_WAIT: Duration = Duration::from_millis(150);
 
 /// What a request waits for.
@@ -72,7 +73,7 @@
 enum Shortage {
     /// No target holds the model.
     Model,
-    /// Other requests go first at every target that holds the model.
+    /// Every target that holds the model and could be chosen has a rate limit or is backing off.
     Replica,
 }
 
@@ -184,13 +185,15 @@
         }
     }
 
-    /// Reports to the planner that a request waits for a replica of its model.
+    /// Reports to the planner that a request waits for a load, or for a further replica of its
+    /// model.
     fn begin_demand(&self, request: &ActiveRequest<'_>, now: Time) {
         self.state.fleet().begin_waiting(&request.want(), now);
         self.state.demand_changed.notify();
     }
 
-    /// Records that a request no longer waits for a replica, and whether it has found a target.
+    /// Records that a request no longer waits for a load or replica, and whether it has found a
+    /// target.
     fn end_demand(
         &self,
         request: &mut ActiveRequest<'_>,
@@ -199,7 +202,8 @@
         is_found: bool,
     ) {
         self.state.fleet().end_waiting(&request.want());
-        // The planner releases the target for its next load once it sees the request there.
+        // Reports the request at its target: until the planner sees it there, or a timeout passes,
+        // it does not evict the model.
         self.state.demand_changed.notify();
         if is_found && shortage == Shortage::Model {
             self.state.load_waits().of(&request.want()).observe(waited);
--- a/crates/tansyknot-fleet/src/state.rs
+++ b/crates/tansyknot-fleet/src/state.rs
@@ -101,15 +101,15 @@
     pub clock: Arc<dyn Clock>,
     /// Raised when the view of the targets has changed or a slot has become free.
     pub targets_changed: Notifier,
-    /// Raised when a request begins to wait for a load.
+    /// Raised when this daemon is to run a step before its next heartbeat, for example because a
+    /// request begins to wait for a load, the view of the targets has changed or a task has ended.
     pub demand_changed: Notifier,
     /// Raised when a crash check of a target has ended, evidence about poison requests is to be
     /// sent, or a request is convicted.
     pub poison_changed: Notifier,
     /// Raised when the reply to a quota request has arrived.
     pub quota_reply_received: Notifier,
-    /// Raised at the deciding daemon when a request asks for a permit at a target that announces a
-    /// limit.
+    /// Raised at the daemon that grants permits when it receives a permit query.
     pub permits_changed: Notifier,
     /// Raised when a call to the store may be due: after an update from the planner, or when the
     /// store responds again.
--- a/crates/tansyknot-fleet/src/target.rs
+++ b/crates/tansyknot-fleet/src/target.rs
@@ -99,7 +99,7 @@
     pub version: u64,
 }
 
-/// A target's reply to a request for its state, which is some hundred milliseconds old.
+/// A target's report of its state, as it was some hundred milliseconds before the report's arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The start time of the run that reports, if it reports one.
--- a/crates/tansyknot-fleet/src/task.rs
+++ b/crates/tansyknot-fleet/src/task.rs
@@ -38,7 +38,8 @@
 /// Conflicts after which the task is abandoned. They take several seconds, since a removal waits
 /// for running requests.
 const MAX_CONFLICTS: u32 = 60;
-/// Maximum age of a report: it shows everything that was done earlier than this before its arrival.
+/// Maximum age of a report on arrival: it shows every order that was executed at least this long
+/// before.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(400);
 /// Consecutive orders without a response after which the task is abandoned.
 const MAX_UNANSWERED_ORDERS: u32 = 3;
