--- a/crates/tansyknot-cli/src/log_line.rs
+++ b/crates/tansyknot-cli/src/log_line.rs
@@ -1,4 +1,4 @@
-//! Parsing of daemons' log lines from files with their standard output.
+//! Parsing of daemons' log lines from files.
 
 use std::{
     collections::BTreeMap,
--- a/crates/tansyknot-config/src/fleet.rs
+++ b/crates/tansyknot-config/src/fleet.rs
@@ -64,7 +64,7 @@
     pub order_turn: DurationSetting,
     /// Retries allowed per request, as a ratio.
     pub retry_ratio: f64,
-    /// Retries that all daemons together may send beyond that ratio in one window.
+    /// Retries that all daemons together may send in one window beyond `retry_ratio`.
     pub retry_slack: f64,
     /// The window in which requests and retries are counted.
     pub retry_window: DurationSetting,
@@ -82,7 +82,7 @@
     /// The time after which every daemon must reject a revoked key.
     #[serde(default)]
     pub revoke_within: Option<PositiveDuration>,
-    /// Whether that bound also applies to daemons that can't receive revocations. Such daemons then
+    /// Whether `revoke_within` also applies to daemons that can't receive revocations, which then
     /// reject keys.
     #[serde(default)]
     pub revoke_fail_closed: bool,
@@ -92,7 +92,8 @@
     /// What all daemons together may admit beyond a quota, as a fraction of the quota.
     #[serde(default = "quota_overshoot")]
     pub quota_overshoot: NonNegative,
-    /// What all daemons together may admit beyond that in one window, in the quota's units.
+    /// What all daemons together may admit in one window beyond the quota and its
+    /// `quota_overshoot`, in the quota's units.
     #[serde(default)]
     pub quota_slack: NonNegative,
 }
@@ -105,7 +106,7 @@
     NonNegative::from_permille(100)
 }
 
-/// The error of settings that fail closed on revocation without a time bound for it.
+/// The error of settings that set `revoke_fail_closed` but not `revoke_within`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("bounds.revoke_fail_closed needs bounds.revoke_within")]
 pub struct MissingRevocationBound;
--- a/crates/tansyknot-config/src/object.rs
+++ b/crates/tansyknot-config/src/object.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetentionGoal {
-    /// Short cold starts in the tail of the latency distribution.
+    /// Few and short cold starts, which determine the highest latencies.
     #[default]
     Cold,
     /// Few idle accelerator hours.
@@ -181,7 +181,7 @@
 pub struct Requests {
     /// The priority class.
     pub class: RequestClass,
-    /// The deadline of a request that has none.
+    /// The deadline of a request that does not set one.
     pub deadline: DurationSetting,
     /// The maximum of requests in flight from one daemon to one replica or plain target.
     pub in_flight_per_replica: u32,
--- a/crates/tansyknot-config/src/objects_in_force.rs
+++ b/crates/tansyknot-config/src/objects_in_force.rs
@@ -65,7 +65,8 @@
     callers: BTreeMap<String, (ConfigVersion, Caller)>,
 }
 
-/// Returns the hash of one object and its version, a term of the configuration's digest.
+/// Returns the hash of an object's key and version. The configuration's digest combines the hashes
+/// of all objects.
 pub fn object_digest(key: &str, version: ConfigVersion) -> u64 {
     xxh3::xxh3_64_with_seed(key.as_bytes(), version)
 }
--- a/crates/tansyknot-config/src/settings.rs
+++ b/crates/tansyknot-config/src/settings.rs
@@ -114,10 +114,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// The time that requests in flight have to finish before the process exits.
+    /// The time that requests in flight have to finish, counted from the stop signal and including
+    /// `linger`. Requests still in flight after it are aborted.
     pub timeout: DurationSetting,
-    /// The minimum time for which new requests are answered with a refusal, so that the load
-    /// balancer can take the daemon out of rotation.
+    /// The time after the stop signal for which the daemon still accepts connections and requests.
+    /// Its health check fails meanwhile, so that the load balancer takes it out of rotation.
     pub linger: DurationSetting,
 }
 
--- a/crates/tansyknot-config/src/unit.rs
+++ b/crates/tansyknot-config/src/unit.rs
@@ -145,12 +145,12 @@
 pub struct PositiveDuration(DurationSetting);
 
 impl PositiveDuration {
-    /// Creates a period of `ms` milliseconds, at least 1 ms.
+    /// Creates a duration of `ms` milliseconds, at least 1 ms.
     pub fn from_millis(ms: u64) -> Self {
         Self(DurationSetting::from_millis(ms.max(1)))
     }
 
-    /// Returns the period as a [`Duration`].
+    /// Returns the value as a [`Duration`].
     pub const fn duration(self) -> Duration {
         self.0.duration()
     }
@@ -175,7 +175,7 @@
     }
 }
 
-/// An error in the text of a period.
+/// An error in the text of a [`PositiveDuration`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PositiveDurationError {
     /// The text is not a duration.
--- a/crates/tansyknot-control/src/config.rs
+++ b/crates/tansyknot-control/src/config.rs
@@ -22,11 +22,12 @@
 /// The key prefix of [`StoredObject`] objects.
 pub const OBJECT_PREFIX: &str = "config/object/";
 
-/// The most object changes in one version.
+/// Maximum number of object changes in one version.
 pub const MAX_OPS: usize = 500;
 /// Versions retained for daemons that replay changes and for `history`; older ones are deleted.
 pub const RETAINED_CHANGES: u64 = 20_000;
-/// The most versions that a daemon replays; further behind, it reads every object instead.
+/// Maximum number of versions that a daemon replays. A daemon that is further behind reads every
+/// object instead.
 const MAX_REPLAYED_VERSIONS: u64 = 400;
 /// Rows read in one scan call.
 const SCAN_PAGE_ROWS: usize = 500;
@@ -70,7 +71,8 @@
         /// The number of changes.
         count: usize,
     },
-    /// The table service failed. If the result is unknown, `history` shows it later.
+    /// The table service failed. If the outcome is unknown, the command `history` shows later
+    /// whether the change was accepted.
     #[error(transparent)]
     Table(#[from] Error),
 }
@@ -297,9 +299,9 @@
 
     /// Applies the changes up to `head` and returns whether that succeeded.
     ///
-    /// All changes come in one reply, which grows with the time that the daemon was behind while
-    /// the timeout of a call is fixed. An error therefore returns `false`, so that the objects are
-    /// read instead of retrying the replay.
+    /// All changes come in one reply, whose length grows with the time that the daemon was behind,
+    /// while the timeout of the call is fixed: a failed replay would fail again. An error therefore
+    /// returns `false`, and the objects are read instead.
     fn try_replay(&self, table: &dyn Table, head: &Head) -> bool {
         self.replay(table, head).unwrap_or_else(|e| {
             event::CONFIG_NOT_REPLAYED.emit(&[("version", &head.version), ("error", &e)]);
@@ -386,9 +388,9 @@
 
 /// Returns whether a row version of the head is the newest, by a commit that checks it.
 ///
-/// A read may be stale, but a commit's condition may not. A daemon that has just started has no
-/// version to compare with, so only this check prevents it from accepting a version older than
-/// the one before its restart.
+/// A read may be stale, but a commit checks its conditions against the newest rows. A daemon that
+/// has just started has no version to compare with, so only this check prevents it from accepting a
+/// version older than the one before its restart.
 fn is_newest(table: &dyn Table, head_row: RowVersion) -> Result<bool> {
     match table.commit(&Transaction::default().check(HEAD_KEY, head_row)) {
         Ok(()) => Ok(true),
--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -59,9 +59,9 @@
 pub struct LocalDemand {
     /// The numbers of waiting requests and of requests in flight.
     pub waiting: ServiceDemand,
-    /// The running mean of service times.
+    /// The exponential moving average of service times.
     pub service_time: Duration,
-    /// The duration of recent loads.
+    /// The duration of the last load.
     pub load_time: Duration,
     /// Whether the service has an open target.
     pub has_upstream: bool,
--- a/crates/tansyknot-control/src/reconcile/scale.rs
+++ b/crates/tansyknot-control/src/reconcile/scale.rs
@@ -122,7 +122,9 @@
         Ok(())
     }
 
-    /// Drains one replica whose service has been idle for as long as its retention plan allows.
+    /// Drains one replica of a service that has been idle for as long as its retention plan allows,
+    /// or for the minimum retention if that is shorter and the replica was only staged or is not
+    /// the last one.
     fn drain_idle(
         &self,
         service: &ServiceName,
@@ -206,8 +208,9 @@
         (now.since(usage.last_used), plan)
     }
 
-    /// Evicts a replica of the service that has been idle longest among those past their minimum
-    /// retention; returns whether memory is being freed.
+    /// Makes room for a replica of `service`: evicts a replica of the other service that has been
+    /// idle for the longest time, at least for its minimum retention. Returns whether memory is
+    /// being freed.
     fn make_room(&self, service: &ServiceName, model_config: &ModelConfig) -> Result<bool> {
         let now = self.parts.clock.now();
         let allowed = self.parts.hosts.select(&model_config.rule.targets);
--- a/crates/tansyknot-control/src/reconcile/slot.rs
+++ b/crates/tansyknot-control/src/reconcile/slot.rs
@@ -24,10 +24,11 @@
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
 /// The interval at which the coordinator checks the engine of a ready replica.
 const READY_CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// The age at which an order that the engine has not read counts as dropped with its connection.
+/// The age from which an unanswered order is assumed never to reach the engine, because its
+/// connection has been closed.
 ///
-/// Engines that ignore fencing tokens offer no stronger guarantee; docs/PROMISES.md lists the
-/// remaining risk.
+/// For an engine that ignores fencing tokens there is no stronger guarantee; docs/PROMISES.md lists
+/// the remaining risk.
 const ORDER_LIFETIME: Duration = Duration::from_secs(60);
 /// The number of load orders that may fail before a slot is drained.
 const MAX_LOAD_ORDERS: u32 = 3;
@@ -207,8 +208,8 @@
                 state.unanswered_load_at.insert(slot.target.clone(), self.parts.clock.now());
                 Ok(())
             }
-            // The order is idempotent on this target and is sent again under this claim or the
-            // next. Until the engine accepts it, the slot and its memory stay counted.
+            // The order is idempotent on this target and is retried under this claim or the next.
+            // Until the engine accepts it, the slot and its memory stay counted.
             _ => Ok(()),
         }
     }
@@ -297,8 +298,8 @@
                 state.work.remove(&slot.target);
                 Ok(())
             }
-            // The engine is busy or did not respond: the slot stays counted and the order is sent
-            // again by a later step.
+            // The engine is busy or did not respond: the slot stays counted and a later step
+            // retries the order.
             Err(_) => Ok(()),
         }
     }
@@ -317,7 +318,7 @@
         }
         let now = self.parts.clock.now();
         // A target that was not listed since this daemon started counts as missing from this check
-        // on.
+        // on, or from the time at which this daemon first saw the slot draining.
         let since = match self.parts.hosts.missing_since(&slot.target) {
             Some(since) => since,
             None => first_missing_check(state, &slot.target, now),
--- a/crates/tansyknot-control/src/replicas.rs
+++ b/crates/tansyknot-control/src/replicas.rs
@@ -241,8 +241,8 @@
 
 /// Removes the slot on `target` and frees its memory, in one transaction.
 ///
-/// The caller must ensure that the engine does not have the model and that no pending order can
-/// still load it.
+/// The calling function must ensure that the engine does not have the model and that no pending
+/// order can still load it.
 ///
 /// # Errors
 ///
--- a/crates/tansyknot-core/src/clock.rs
+++ b/crates/tansyknot-core/src/clock.rs
@@ -109,9 +109,10 @@
     /// Returns the monotonic time.
     fn now(&self) -> Time;
 
-    /// Returns the wall-clock time in milliseconds since the Unix epoch, for display only.
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     ///
-    /// No decision compares the wall-clock times of two hosts.
+    /// It is shown to operators, numbers the starts of a daemon in the membership and determines
+    /// the day in the row key of an idempotency key. Only that day is compared between hosts.
     fn wall_ms(&self) -> u64;
 
     /// Blocks the current thread for `duration`.
--- a/crates/tansyknot-core/src/engine.rs
+++ b/crates/tansyknot-core/src/engine.rs
@@ -8,8 +8,8 @@
     name::{AdapterName, AttemptId, Incarnation, ServiceName},
 };
 
-/// A fencing token, which increases whenever a replica changes its holder. Engines may refuse
-/// orders with older tokens.
+/// A fencing token, which increases with each claim of a replica and when its drain begins. Engines
+/// may refuse orders with older tokens.
 pub type Fence = u64;
 
 /// The storage tier of a model's checkpoint, as seen from an engine's host.
--- a/crates/tansyknot-core/src/event.rs
+++ b/crates/tansyknot-core/src/event.rs
@@ -19,7 +19,7 @@
 pub type Field<'a> = (&'static str, &'a dyn Display);
 
 impl Event {
-    /// Logs the event with its fields and the source location of the caller.
+    /// Logs the event with its fields and the source location of the calling code.
     #[track_caller]
     pub fn emit(&self, fields: &[Field<'_>]) {
         if self.level > log::max_level() {
--- a/crates/tansyknot-core/src/replica.rs
+++ b/crates/tansyknot-core/src/replica.rs
@@ -45,18 +45,20 @@
     pub target: TargetName,
     /// The state of the replica.
     pub state: SlotState,
-    /// The fencing token of the latest claim.
+    /// The fencing token of the latest reservation, claim or drain.
     pub fence: Fence,
-    /// The daemon process that made the latest claim.
+    /// The daemon process that last reserved, claimed or drained the slot, or reported it as ready.
     pub holder: Incarnation,
-    /// The writer token of the latest change, which tells a lost reply from a lost race.
+    /// The writer token of the latest change, by which a writer whose reply was lost recognizes that
+    /// its change took effect.
     pub token: String,
     /// Memory reserved at the target, in bytes.
     pub memory_bytes: u64,
     /// Daemon processes whose load order may still reach the engine.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ordering: Vec<Incarnation>,
-    /// When the state was entered, in milliseconds since the Unix epoch; for display only.
+    /// When the slot was last reserved, claimed, reported as ready or drained, in milliseconds
+    /// since the Unix epoch; for display only.
     pub since_ms: u64,
 }
 
--- a/crates/tansyknot-core/src/table.rs
+++ b/crates/tansyknot-core/src/table.rs
@@ -107,7 +107,7 @@
     fn commit(&self, txn: &Transaction) -> Result<()>;
 }
 
-/// Commits that are tried before a lost reply is left unresolved.
+/// Maximum number of attempts to commit a transaction whose reply is lost.
 const MAX_COMMIT_ATTEMPTS: usize = 3;
 
 /// Commits a transaction, and resolves a lost reply by retrying and reading the row back.
--- a/crates/tansyknot-edge/src/gateway/keys.rs
+++ b/crates/tansyknot-edge/src/gateway/keys.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys, which are claimed before the first byte of a request is sent and updated with
-//! its outcome after the last.
+//! Idempotency keys. A key is claimed before the first byte of its request is sent to a target, and
+//! its row is updated with the outcome after the last attempt.
 
 use tansyknot_control::idempotency::{self, KeyHandle, StoredResponse};
 use tansyknot_core::{
--- a/crates/tansyknot-edge/src/stage/admit.rs
+++ b/crates/tansyknot-edge/src/stage/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: the limits of each caller, and at most one run for each idempotency key.
+//! Admission: the limits of each caller, and at most one execution for each idempotency key. The
+//! key is claimed after the first placement, so that a request refused before it leaves no row.
 
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -37,7 +37,7 @@
     pub max_waiting: usize,
 }
 
-/// A request's slot at a target, which is released when this value is dropped.
+/// A request that is counted as in flight at a target until this value is dropped.
 pub struct Placement<'a> {
     pools: &'a Pools,
     service: ServiceName,
--- a/crates/tansyknot-edge/src/upstream.rs
+++ b/crates/tansyknot-edge/src/upstream.rs
@@ -122,8 +122,9 @@
 pub enum ConnectionReuse {
     /// Idle connections are kept for reuse.
     Pooled,
-    /// Each request has its own connection, so that a request of which no byte was sent can be
-    /// distinguished from one on a connection that the target has just closed.
+    /// Each request has its own connection. On a reused one, bytes may be sent to a target that has
+    /// just closed it; the request then counts as possibly run although the target never received
+    /// it.
     Fresh,
 }
 
--- a/crates/tansyknot-gossip/src/interest.rs
+++ b/crates/tansyknot-gossip/src/interest.rs
@@ -1,4 +1,5 @@
-//! The daemons that use each service; only they receive changes of its replicas.
+//! The daemons that use each service. They and the service's coordinator receive a message when its
+//! replica row changes.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,7 +8,8 @@
     name::{DaemonName, ServiceName},
 };
 
-/// A daemon that has not used a service for this long receives no changes of its replicas.
+/// A daemon that has not used a service for this long receives no messages about changes of its
+/// replica row.
 const INTEREST_TTL: Duration = Duration::from_secs(60);
 
 /// The daemons that have recently used each service.
--- a/crates/tansyknot-gossip/src/members.rs
+++ b/crates/tansyknot-gossip/src/members.rs
@@ -257,7 +257,8 @@
         out.push(Outgoing { to, message: Message::Ping { seq, updates: self.next_updates() } });
     }
 
-    /// Iterates over all members in random order, which bounds the time between two probes of one.
+    /// Returns the next member to probe. Each round probes every member that is not dead once, in
+    /// random order, which bounds the time between two probes of the same member.
     fn next_to_probe(&mut self, rng: &mut dyn RngCore) -> Option<DaemonName> {
         loop {
             if self.probe_order.is_empty() {
--- a/crates/tansyknot-gossip/src/node.rs
+++ b/crates/tansyknot-gossip/src/node.rs
@@ -165,7 +165,8 @@
             Ok(envelope) => envelope,
             Err(dropped) => {
                 let count = self.dropped.fetch_add(1, Ordering::Relaxed) + 1;
-                // Logging only powers of two keeps a flood of invalid datagrams from flooding the log.
+                // Only counts that are powers of two are logged, so that many invalid datagrams
+                // cause few log lines.
                 if count.is_power_of_two() {
                     event::DATAGRAM_DROPPED.emit(&[("why", &dropped), ("count", &count)]);
                 }
--- a/crates/tansyknot-http/src/respond.rs
+++ b/crates/tansyknot-http/src/respond.rs
@@ -107,7 +107,7 @@
 }
 
 impl StreamedResponse {
-    /// Sends a bytes of the body immediately.
+    /// Sends bytes of the body immediately.
     ///
     /// # Errors
     ///
--- a/crates/tansyknot-http/src/server.rs
+++ b/crates/tansyknot-http/src/server.rs
@@ -99,7 +99,8 @@
 }
 
 impl Lifecycle {
-    /// Starts the drain: connections are closed after their current request.
+    /// Starts the drain: each connection is closed after its current or next request. Whether idle
+    /// connections are closed at once depends on [`DrainBehaviour`].
     pub fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
--- a/crates/tansyknot-policy/src/pool.rs
+++ b/crates/tansyknot-policy/src/pool.rs
@@ -76,8 +76,8 @@
     at: Time,
 }
 
-/// Age at which a load report is ignored. Reports arrive with responses, so a high one that kept
-/// all requests away would never be replaced.
+/// Age from which a load report is ignored. Reports arrive only with responses: without this limit,
+/// a report of a high load could keep all requests away from its upstream and never be replaced.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(2);
 
 /// Maximum number of prompt prefix hints stored for each upstream.
@@ -198,7 +198,8 @@
         self.now = self.now.max(now);
     }
 
-    /// Closes an upstream, for instance after it refused a request as not loaded or draining.
+    /// Closes an upstream, for instance after it refused a request as not loaded or could
+    /// not be reached.
     pub fn close(&mut self, target: &TargetName) {
         if let Some(m) = self.members.iter_mut().find(|m| m.upstream.target == *target) {
             m.open = false;
--- a/crates/tansyknot-policy/src/retention.rs
+++ b/crates/tansyknot-policy/src/retention.rs
@@ -84,8 +84,9 @@
 
 /// Returns the retention time with the least cost, and that cost, in seconds.
 ///
-/// Between the ends of two neighbouring gaps the cost is convex, so only the minimum retention and
-/// the times that just cover a gap are candidates.
+/// Between the lengths of two neighbouring gaps the cost rises with the retention time, as each
+/// longer gap adds that time. Only the minimum retention and the times that just cover a gap are
+/// therefore candidates.
 fn best_keep(sorted: &[u32], worth: f64, options: &RetentionOptions) -> (f64, f64) {
     let shortest = options.min_keep.as_secs_f64();
     let longest = options.max_keep.as_secs_f64();
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -41,9 +41,9 @@
 
 /// How often a stop checks whether requests are in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A planner sends up to 15 Mbit/s to 295 daemons while many of 264 targets change, and its updates
-/// use at most a fifth of its link (event 1625). A daemon with a slower link than this takes the
-/// lease only reluctantly.
+/// A daemon with a slower link than this takes the lease over only if no other daemon does so for a
+/// while. A planner sends up to 15 Mbit/s to 295 daemons while many of 264 targets change, and its
+/// updates use at most a fifth of its link; event 1625 reports their cost.
 const MIN_PLANNER_LINK_MBPS: f64 = 60.0;
 /// Maximum number of connections to the readiness and metrics pages.
 const MAX_PAGE_CONNECTIONS: u32 = 32;
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/calls.rs
@@ -69,8 +69,8 @@
     });
 }
 
-/// Waits for the pause after a call that started at `started_at`, or until a later call to the store
-/// has returned.
+/// Waits for `pause` after a call that started at `started_at`. The wait ends early if, since that
+/// time, the store has responded again after failed calls.
 fn pause_calls(state: &State, started_at: Time, pause: Duration) {
     let until = state.now() + pause;
     loop {
@@ -85,7 +85,8 @@
     }
 }
 
-/// Waits until the configuration received from the planner is stale.
+/// Waits until the configuration received from the planner is stale. Does not wait if this daemon
+/// is the planner or has no configuration.
 fn await_config_call(state: &State, peer_node: &PeerNode) {
     loop {
         let seen = state.store_call_due.count();
@@ -146,7 +147,8 @@
     }
 }
 
-/// Waits at least for `min_wait`, and until the list received from the planner is stale.
+/// Waits at least for `min_wait`, and until the list received from the planner is stale. Does not
+/// wait if this daemon is the planner.
 fn await_list_call(state: &State, peer_node: &PeerNode, min_wait: Duration) {
     let until = state.now() + min_wait;
     loop {
