--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! A target whose engine carries out orders in virtual time.
+//! A target whose engine executes orders in virtual time.
 
 use std::{
     collections::VecDeque,
@@ -14,36 +14,36 @@
 
 use super::held;
 
-/// How a target answers the next order.
+/// How a target treats the next order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderFault {
-    /// The order is lost on the way.
+    /// The order does not reach the target.
     Lost,
-    /// It is carried out at once and not answered.
+    /// The order is executed at once, and its response is lost.
     AnswerLost,
-    /// It is not answered, and carried out when the next order comes, before it.
+    /// The order has no response and is executed just before the next order.
     Late,
-    /// Another order is under way.
+    /// The target rejects the order because another one is in progress.
     Busy,
 }
 
 /// A target's engine.
 #[derive(Default)]
-pub(crate) struct Engine1 {
+pub(crate) struct FakeEngine {
     pub(crate) born: Option<StartTime>,
     pub(crate) models: Vec<LoadedModel>,
     pub(crate) orders: u64,
     pub(crate) faults: VecDeque<OrderFault>,
-    pub(crate) late: Option<Order>,
+    pub(crate) delayed: Option<Order>,
     pub(crate) most_models: usize,
 }
 
-/// One target that carries out orders at once.
+/// A target that executes orders at once.
 #[derive(Clone, Default)]
 pub(crate) struct FakeTarget {
-    engine: Arc<Mutex<Engine1>>,
-    /// Where its entry in the list is told.
-    told: Option<(Arc<State>, Target)>,
+    engine: Arc<Mutex<FakeEngine>>,
+    /// The state whose list gets the entry of this target, and the entry at the start.
+    listed_in: Option<(Arc<State>, Target)>,
 }
 
 impl FakeTarget {
@@ -54,17 +54,17 @@
         fake
     }
 
-    /// Makes a target that is in the list of `state`.
+    /// Creates a target that is in the list of `state`.
     pub(crate) fn listed(state: &Arc<State>, target: &Target) -> Self {
-        let fake = Self { told: Some((Arc::clone(state), target.clone())), ..Self::default() };
+        let fake = Self { listed_in: Some((Arc::clone(state), target.clone())), ..Self::default() };
         fake.engine().models.clone_from(&target.models);
         fake.engine().most_models = target.models.len();
         state.fleet().apply_full_list(vec![target.clone()], target.version, None, state.now());
         fake
     }
 
-    fn tell(&self, engine: &Engine1) {
-        let Some((state, target)) = &self.told else { return };
+    fn update_list(&self, engine: &FakeEngine) {
+        let Some((state, target)) = &self.listed_in else { return };
         let version = 1 + engine.orders;
         let (models, started_at) = (engine.models.clone(), engine.born);
         let target = Target { models, started_at, version, ..target.clone() };
@@ -73,18 +73,18 @@
         state.targets_changed.notify();
     }
 
-    pub(crate) fn engine(&self) -> MutexGuard<'_, Engine1> {
-        self.engine.lock().expect("no test panics with it")
+    pub(crate) fn engine(&self) -> MutexGuard<'_, FakeEngine> {
+        self.engine.lock().expect("the lock is not poisoned")
     }
 
-    /// Returns the names of the models that it holds.
+    /// Returns the names of the loaded models.
     pub(crate) fn models(&self) -> Vec<String> {
         self.engine().models.iter().map(|h| h.model.to_string()).collect()
     }
 }
 
-impl Engine1 {
-    fn carry_out(&mut self, order: &Order) -> OrderReply {
+impl FakeEngine {
+    fn execute(&mut self, order: &Order) -> OrderReply {
         if order.expected_orders != self.orders {
             return OrderReply::Conflict;
         }
@@ -95,11 +95,11 @@
             Action::Remove { model, adapter: None } => self.models.retain(|h| h.model != *model),
             Action::Load { model, adapter: Some(adapter) } => {
                 let found = self.models.iter_mut().find(|h| h.model == *model);
-                found.expect("the model is there").adapters.push(adapter.clone());
+                found.expect("the model is loaded").adapters.push(adapter.clone());
             }
             Action::Remove { model, adapter: Some(adapter) } => {
                 let found = self.models.iter_mut().find(|h| h.model == *model);
-                found.expect("the model is there").adapters.retain(|a| a != adapter);
+                found.expect("the model is loaded").adapters.retain(|a| a != adapter);
             }
         }
         self.orders += 1;
@@ -114,24 +114,24 @@
             return Err(Error::unreachable("target", "not allowed"));
         }
         let mut engine = self.engine();
-        if let Some(late) = engine.late.take() {
-            engine.carry_out(&late);
+        if let Some(delayed) = engine.delayed.take() {
+            engine.execute(&delayed);
         }
         let fault = engine.faults.pop_front();
         let result = match fault {
-            None => Ok(engine.carry_out(order)),
+            None => Ok(engine.execute(order)),
             Some(OrderFault::Busy) => Ok(OrderReply::Conflict),
-            Some(OrderFault::Lost) => Err(Error::unknown("target", "no answer")),
+            Some(OrderFault::Lost) => Err(Error::unknown("target", "no response")),
             Some(OrderFault::AnswerLost) => {
-                engine.carry_out(order);
-                Err(Error::unknown("target", "no answer"))
+                engine.execute(order);
+                Err(Error::unknown("target", "no response"))
             }
             Some(OrderFault::Late) => {
-                engine.late = Some(order.clone());
-                Err(Error::unknown("target", "no answer"))
+                engine.delayed = Some(order.clone());
+                Err(Error::unknown("target", "no response"))
             }
         };
-        self.tell(&engine);
+        self.update_list(&engine);
         result
     }
 
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A store, targets and daemons that live in one thread and in virtual time.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Support of the tests: a store, targets and daemons that run in one thread and in virtual time.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub(crate) mod calls;
 pub(crate) mod crashes;
@@ -32,18 +32,18 @@
 
 use store::{Door, FakeStore};
 
-/// The bound on turns that both sites set.
+/// The interval at which the lease is handed over, as production deployments set it.
 pub(crate) const TURN: Duration = Duration::from_millis(3000);
 
-/// A daemon's share in the lease.
+/// A daemon that takes part in the lease only.
 pub(crate) struct Daemon {
     pub(crate) clock: ManualClock,
     pub(crate) door: Door,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
     pub(crate) keeper: Arc<LeaseKeeper>,
-    due: RefCell<Time>,
-    ordered: RefCell<Option<(Time, u64)>>,
+    next_step_at: RefCell<Time>,
+    last_order: RefCell<Option<(Time, u64)>>,
 }
 
 impl Daemon {
@@ -60,9 +60,9 @@
         let door = store.door();
         let state = state(clock);
         let lease = Arc::new(SharedLease::default());
-        // Every daemon has a host of its own.
+        // Each daemon has a host of its own.
         let host = name.bytes().next().unwrap_or(1);
-        let me = LeaseHolder {
+        let holder = LeaseHolder {
             daemon: name.into(),
             incarnation: tansyknot_core::name::random_id().into(),
             address: ([10, 0, 0, host], 7000).into(),
@@ -76,7 +76,7 @@
             Arc::clone(&state),
             Arc::new(door.clone()),
             Arc::clone(&lease),
-            me,
+            holder,
             LeaseOptions { handover_interval: TURN },
             reluctance,
         ));
@@ -86,30 +86,31 @@
             state,
             lease,
             keeper,
-            due: RefCell::new(Time::default()),
-            ordered: RefCell::new(None),
+            next_step_at: RefCell::new(Time::default()),
+            last_order: RefCell::new(None),
         }
     }
 
-    /// Does what is due of the lease, and notes whether an order could be sent.
+    /// Runs a step of the lease keeper if one is due, and records an order if one may be sent.
     pub(crate) fn keep(&self) {
-        if self.clock.now() >= *self.due.borrow() {
+        if self.clock.now() >= *self.next_step_at.borrow() {
             let pause = self.keeper.step();
-            *self.due.borrow_mut() = self.clock.now() + pause;
+            *self.next_step_at.borrow_mut() = self.clock.now() + pause;
         }
         if self.may_order() {
-            // It orders whenever it may.
+            // The daemon sends an order whenever it may.
             self.lease.record_order(&TargetName::from("t"), self.clock.now());
-            *self.ordered.borrow_mut() = Some((self.clock.now(), self.lease.fence()));
+            *self.last_order.borrow_mut() = Some((self.clock.now(), self.lease.fence()));
         }
     }
 
-    /// Tells whether it may order the target `t`, which it has the row name.
+    /// Returns whether the daemon may send orders to the target `t`; adds `t` to the row.
     pub(crate) fn may_order(&self) -> bool {
         self.keeper.add_target(&TargetName::from("t")).is_some()
     }
 
-    /// Returns the last moment at which it could order if it is not asked any more.
+    /// Returns the last time at which the daemon could send an order if its keeper runs no further
+    /// step.
     pub(crate) fn last_order_possible(&self) -> Time {
         let t = TargetName::from("t");
         let mut at = self.clock.now();
@@ -119,21 +120,22 @@
         at
     }
 
-    /// Returns the fencing token of its last possible order.
+    /// Returns the fencing token of the last order, 0 if there was none.
     pub(crate) fn fence_seen(&self) -> u64 {
-        self.ordered.borrow().map_or(0, |(_, fence)| fence)
+        self.last_order.borrow().map_or(0, |(_, fence)| fence)
     }
 }
 
-/// Returns the seeds that the environment variable `name` asks for, else `usual`.
-pub(crate) fn seeds(name: &str, usual: u64) -> Range<u64> {
-    let Ok(seeds) = std::env::var(name) else { return 0..usual };
+/// Returns the seeds that the environment variable `name` sets as `FROM..TO`, else the first
+/// `default_count` seeds.
+pub(crate) fn seeds(name: &str, default_count: u64) -> Range<u64> {
+    let Ok(seeds) = std::env::var(name) else { return 0..default_count };
     let bounds = seeds.split_once("..").map(|(from, to)| (from.parse(), to.parse()));
-    let Some((Ok(from), Ok(to))) = bounds else { panic!("{name} is FROM..TO") };
+    let Some((Ok(from), Ok(to))) = bounds else { panic!("{name} must be FROM..TO") };
     from..to
 }
 
-/// Makes the shared state of a daemon in zone `z1`.
+/// Creates the shared state of a daemon in zone `z1`.
 pub(crate) fn state(clock: &ManualClock) -> Arc<State> {
     let budget = BudgetOptions { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
     let options = StateOptions {
@@ -144,7 +146,7 @@
     Arc::new(State::new(ZoneName::from("z1"), options, Arc::new(clock.clone())))
 }
 
-/// Makes a ready target of service `s` with these models; all of `disk` lie on its disk.
+/// Creates a ready target of service `s` with these loaded models, and those of `disk` on its disk.
 pub(crate) fn target(name: &str, models: &[&str], disk: &[&str]) -> Target {
     let names = |list: &[&str]| list.iter().map(|m| ModelName::from(*m)).collect();
     Target {
@@ -162,7 +164,7 @@
     }
 }
 
-/// Makes a held model with adapters.
+/// Creates a loaded model with adapters.
 pub(crate) fn held(model: &str, adapters: &[&str]) -> LoadedModel {
     LoadedModel {
         model: ModelName::from(model),
@@ -170,11 +172,12 @@
     }
 }
 
-/// Makes a configuration of service `s` with models `m0` to `m9`; an engine holds three.
+/// Creates a configuration of service `s` with models `m0` to `m9`; an engine has memory for three
+/// of them.
 pub(crate) fn catalog() -> Catalog {
     let model = |n: u32| Model {
         name: ModelName::new(format!("m{n}")),
-        // Two are small.
+        // `m8` and `m9` are small.
         memory_mb: if n < 8 { 70_000.0 } else { 34_000.0 },
         load_remote: Duration::from_secs(6),
         load_disk: Duration::from_millis(800),
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -1,4 +1,4 @@
-//! A planner that is told demand and planned with in virtual time.
+//! A planner that receives demand and plans in virtual time.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 
 use super::catalog;
 
-/// Makes what one daemon asks of a model.
+/// Creates the demand of one daemon for a model.
 pub(crate) fn wants(model: &str, adapter: Option<&str>, waiting: u16, arrived: u32) -> ModelUse {
     ModelUse {
         service: ServiceName::from("s"),
@@ -29,23 +29,23 @@
     }
 }
 
-/// Makes requests of one daemon at a target.
+/// Creates the count of requests of one daemon in flight at a target.
 pub(crate) fn busy(target: &str, model: &str, count: u16) -> InFlight {
     InFlight { target: TargetName::from(target), model: Some(ModelName::from(model)), count }
 }
 
-/// A planner, the targets that it sees, and its time.
+/// A planner, its targets and the current time.
 pub(crate) struct Rig {
     pub(crate) planner: Planner,
     pub(crate) targets: Vec<Arc<Target>>,
     pub(crate) now: Time,
-    pub(crate) beat: u32,
+    pub(crate) seq: u32,
 }
 
 impl Rig {
     pub(crate) fn new(targets: Vec<Target>) -> Self {
         let targets = targets.into_iter().map(Arc::new).collect();
-        Self { planner: Planner::default(), targets, now: Time::from_millis(100_000), beat: 0 }
+        Self { planner: Planner::default(), targets, now: Time::from_millis(100_000), seq: 0 }
     }
 
     pub(crate) fn hear(&mut self, uses: &[ModelUse], in_flight: Vec<InFlight>) {
@@ -53,11 +53,11 @@
     }
 
     pub(crate) fn hear_of(&mut self, daemon: &str, uses: &[ModelUse], in_flight: Vec<InFlight>) {
-        self.beat += 1;
+        self.seq += 1;
         let demand = Demand {
             daemon: daemon.into(),
             incarnation: "run-1".into(),
-            seq: self.beat,
+            seq: self.seq,
             zone: "z1".into(),
             link_mbps: None,
             received: ReceivedState::default(),
@@ -75,13 +75,13 @@
     }
 }
 
-/// Writes the orders of tasks as `target +model` and `target -model`.
+/// Formats the orders of tasks as `target +model` and `target -model`.
 pub(crate) fn orders(tasks: &[Task]) -> Vec<String> {
-    let text = |t: &Task, action: &Action| match action {
+    let format_order = |t: &Task, action: &Action| match action {
         Action::Load { model, adapter: None } => format!("{} +{model}", t.target.name),
         Action::Remove { model, adapter: None } => format!("{} -{model}", t.target.name),
         Action::Load { model, adapter: Some(a) } => format!("{} +{model}/{a}", t.target.name),
         Action::Remove { model, adapter: Some(a) } => format!("{} -{model}/{a}", t.target.name),
     };
-    tasks.iter().flat_map(|t| t.steps.iter().map(|s| text(t, &s.action))).collect()
+    tasks.iter().flat_map(|t| t.steps.iter().map(|s| format_order(t, &s.action))).collect()
 }
--- a/crates/tansyknot-fleet/tests/support/store.rs
+++ b/crates/tansyknot-fleet/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A store with the planner's row and a list that tests set.
+//! A fake store with the planner's row, the row of poison requests and a list of targets.
 
 use std::{
     collections::VecDeque,
@@ -13,17 +13,17 @@
     target::Target,
 };
 
-/// How the store treats one daemon.
+/// How the store responds to one daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum StoreFault {
-    /// It answers.
+    /// Calls succeed.
     #[default]
     None,
-    /// Nothing arrives there.
+    /// Calls do not reach the store and time out.
     Silent,
-    /// It refuses.
+    /// The store refuses calls.
     Busy,
-    /// It does what it is told and does not answer.
+    /// The store executes calls, and their responses are lost.
     LosesAnswers,
 }
 
@@ -34,28 +34,28 @@
 }
 
 impl Row {
-    fn found(&self) -> Option<StoreRow> {
+    fn store_row(&self) -> Option<StoreRow> {
         self.value.clone().map(|value| StoreRow { value, version: self.version })
     }
 }
 
-/// The list as of a version, which rises with each write.
+/// The list of targets; its version rises with each write.
 #[derive(Clone, Default)]
 struct List {
     targets: Vec<Target>,
     version: u64,
 }
 
-/// A store with the planner's row and a list that tests set.
+/// A store with both rows and a list that tests set.
 #[derive(Clone, Default)]
 pub(crate) struct FakeStore {
     row: Arc<Mutex<Row>>,
     poison: Arc<Mutex<Row>>,
     list: Arc<Mutex<List>>,
-    news: Arc<Mutex<VecDeque<TargetListUpdate>>>,
+    updates: Arc<Mutex<VecDeque<TargetListUpdate>>>,
 }
 
-/// One daemon's way to the store.
+/// One daemon's client of the store.
 #[derive(Clone, Default)]
 pub(crate) struct Door {
     store: FakeStore,
@@ -63,14 +63,14 @@
     list_calls: Arc<Mutex<u64>>,
     read_within: Arc<Mutex<Vec<Duration>>>,
     followed_from: Arc<Mutex<u64>>,
-    way_back: Arc<Mutex<Option<WayBack>>>,
+    response_delay: Arc<Mutex<Option<ResponseDelay>>>,
 }
 
-/// How long answers to calls that wait are on their way.
+/// The time that responses to long-poll calls take.
 #[derive(Clone)]
-struct WayBack {
+struct ResponseDelay {
     clock: ManualClock,
-    takes: Duration,
+    transit: Duration,
 }
 
 impl FakeStore {
@@ -90,60 +90,60 @@
     }
 
     pub(crate) fn set_row(&self, value: &[u8]) {
-        let mut row = self.row.lock().expect("no test panics with it");
+        let mut row = self.row.lock().expect("the lock is not poisoned");
         row.version += 1;
         row.value = Some(value.to_vec());
     }
 
     pub(crate) fn set_list(&self, targets: Vec<Target>) {
-        let mut list = self.list.lock().expect("no test panics with it");
+        let mut list = self.list.lock().expect("the lock is not poisoned");
         list.version += 1;
         let version = list.version;
         list.targets = targets.into_iter().map(|t| Target { version, ..t }).collect();
     }
 
-    pub(crate) fn push_news(&self, news: TargetListUpdate) {
-        self.news.lock().expect("no test panics with it").push_back(news);
+    pub(crate) fn push_news(&self, update: TargetListUpdate) {
+        self.updates.lock().expect("the lock is not poisoned").push_back(update);
     }
 }
 
 impl Door {
     pub(crate) fn set(&self, fault: StoreFault) {
-        *self.fault.lock().expect("no test panics with it") = fault;
+        *self.fault.lock().expect("the lock is not poisoned") = fault;
     }
 
-    /// Lets calls that wait take their time, and their answers `takes` beside that.
-    pub(crate) fn delay(&self, clock: &ManualClock, takes: Duration) {
-        let way_back = WayBack { clock: clock.clone(), takes };
-        *self.way_back.lock().expect("no test panics with it") = Some(way_back);
+    /// Makes each long-poll call advance the clock by its wait and, for its response, by `transit`.
+    pub(crate) fn delay(&self, clock: &ManualClock, transit: Duration) {
+        let response_delay = ResponseDelay { clock: clock.clone(), transit };
+        *self.response_delay.lock().expect("the lock is not poisoned") = Some(response_delay);
     }
 
-    /// Returns how often the list was asked for.
+    /// Returns the number of calls for the list.
     pub(crate) fn list_calls(&self) -> u64 {
-        *self.list_calls.lock().expect("no test panics with it")
+        *self.list_calls.lock().expect("the lock is not poisoned")
     }
 
-    /// Returns how long each reading of the list was given.
+    /// Returns the timeout of each full read of the list.
     pub(crate) fn read_within(&self) -> Vec<Duration> {
-        self.read_within.lock().expect("no test panics with it").clone()
+        self.read_within.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Returns the version that the list was followed from last.
+    /// Returns the version after which changes of the list were last requested.
     pub(crate) fn followed_from(&self) -> u64 {
-        *self.followed_from.lock().expect("no test panics with it")
+        *self.followed_from.lock().expect("the lock is not poisoned")
     }
 
-    fn pass(&self) -> Result<StoreFault> {
-        match *self.fault.lock().expect("no test panics with it") {
+    fn check_fault(&self) -> Result<StoreFault> {
+        match *self.fault.lock().expect("the lock is not poisoned") {
             StoreFault::Silent => Err(Error::unknown("store", "silent")),
             StoreFault::Busy => Err(Error::busy("store", "busy")),
             other => Ok(other),
         }
     }
 
-    fn answer<T>(fault: StoreFault, value: T) -> Result<T> {
+    fn respond<T>(fault: StoreFault, value: T) -> Result<T> {
         match fault {
-            StoreFault::LosesAnswers => Err(Error::unknown("store", "no answer")),
+            StoreFault::LosesAnswers => Err(Error::unknown("store", "no response")),
             _ => Ok(value),
         }
     }
@@ -151,49 +151,51 @@
 
 impl Store for Door {
     fn targets(&self, within: Duration) -> Result<(Vec<Target>, u64)> {
-        self.read_within.lock().expect("no test panics with it").push(within);
-        *self.list_calls.lock().expect("no test panics with it") += 1;
-        let fault = self.pass()?;
-        let list = self.store.list.lock().expect("no test panics with it").clone();
-        Self::answer(fault, (list.targets, list.version.max(1)))
+        self.read_within.lock().expect("the lock is not poisoned").push(within);
+        *self.list_calls.lock().expect("the lock is not poisoned") += 1;
+        let fault = self.check_fault()?;
+        let list = self.store.list.lock().expect("the lock is not poisoned").clone();
+        Self::respond(fault, (list.targets, list.version.max(1)))
     }
 
     fn target_changes(&self, version: u64) -> Result<TargetListUpdate> {
-        *self.followed_from.lock().expect("no test panics with it") = version;
-        *self.list_calls.lock().expect("no test panics with it") += 1;
-        let fault = self.pass()?;
-        let next = self.store.news.lock().expect("no test panics with it").pop_front();
-        let nothing = TargetListUpdate::Changes { changes: Vec::new(), version };
-        Self::answer(fault, next.unwrap_or(nothing))
+        *self.followed_from.lock().expect("the lock is not poisoned") = version;
+        *self.list_calls.lock().expect("the lock is not poisoned") += 1;
+        let fault = self.check_fault()?;
+        let next = self.store.updates.lock().expect("the lock is not poisoned").pop_front();
+        let no_changes = TargetListUpdate::Changes { changes: Vec::new(), version };
+        Self::respond(fault, next.unwrap_or(no_changes))
     }
 
     fn catalog(&self, _within: Duration) -> Result<(Option<Catalog>, u64)> {
-        let fault = self.pass()?;
-        Self::answer(fault, (None, 1))
+        let fault = self.check_fault()?;
+        Self::respond(fault, (None, 1))
     }
 
     fn catalog_changes(&self, v: u64, wait: Duration) -> Result<Option<(Option<Catalog>, u64)>> {
-        let fault = self.pass()?;
-        if let Some(way) = &*self.way_back.lock().expect("no test panics with it") {
-            way.clock.advance(wait + way.takes);
+        let fault = self.check_fault()?;
+        if let Some(response_delay) =
+            &*self.response_delay.lock().expect("the lock is not poisoned")
+        {
+            response_delay.clock.advance(wait + response_delay.transit);
         }
-        Self::answer(fault, Some((None, v)))
+        Self::respond(fault, Some((None, v)))
     }
 
     fn row(&self, name: RowName) -> Result<Option<StoreRow>> {
-        let fault = self.pass()?;
-        let found = self.store.row_of(name).lock().expect("no test panics with it").found();
-        Self::answer(fault, found)
+        let fault = self.check_fault()?;
+        let found = self.store.row_of(name).lock().expect("the lock is not poisoned").store_row();
+        Self::respond(fault, found)
     }
 
     fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<WriteOutcome> {
-        let fault = self.pass()?;
-        let mut row = self.store.row_of(name).lock().expect("no test panics with it");
+        let fault = self.check_fault()?;
+        let mut row = self.store.row_of(name).lock().expect("the lock is not poisoned");
         if row.version != expected {
-            return Self::answer(fault, WriteOutcome::Conflict(row.found()));
+            return Self::respond(fault, WriteOutcome::Conflict(row.store_row()));
         }
         row.version += 1;
         row.value = Some(value.to_vec());
-        Self::answer(fault, WriteOutcome::Done(row.version))
+        Self::respond(fault, WriteOutcome::Done(row.version))
     }
 }
