--- a/crates/tansyknot-fleet/tests/support/calls.rs
+++ b/crates/tansyknot-fleet/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! A daemon's calls for the list, which take time while other things happen.
+//! A simulated daemon's calls for the list of targets, which take virtual time.
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
@@ -11,42 +11,43 @@
     state::State,
 };
 
-/// The pauses after calls that fail are those of the daemon, undrawn.
-const RETRY_FIRST: Duration = Duration::from_millis(250);
-const RETRY_MOST: Duration = Duration::from_millis(1000);
-/// Calls that take longer fail, as those of the store's client do.
+/// The delays after failed calls are the daemon's own, without jitter.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
+/// Calls that take longer fail, as with the store's client.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a call takes each way, in milliseconds.
+/// The range of the time that a call takes each way, in milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Latency {
     /// To the store.
-    pub(crate) there: Range<u64>,
-    /// Back, while other news arrive.
-    pub(crate) back: Range<u64>,
+    pub(crate) request: Range<u64>,
+    /// From the store, while other updates arrive.
+    pub(crate) response: Range<u64>,
 }
 
-/// A call that is under way: it reaches the store, is answered there, and the answer comes back.
-struct Pending {
+/// A call in progress: its request reaches the store at `arrives_at`, which makes the response, and
+/// the call ends at `ends_at`.
+struct PendingCall {
     call: ListCall,
-    asked_at: Time,
+    arrives_at: Time,
     ends_at: Time,
-    answer: Option<Result<Option<ListResponse>>>,
+    response: Option<Result<Option<ListResponse>>>,
 }
 
 /// A daemon's calls for the list.
-pub(crate) struct Calls {
+pub(crate) struct ListCalls {
     pub(crate) follower: TargetFollower,
     state: Arc<State>,
     peer_node: Arc<PeerNode>,
-    pending: Option<Pending>,
-    /// Calls that failed in a row.
+    pending: Option<PendingCall>,
+    /// The number of consecutive failed calls.
     failures: u32,
     call_at: Time,
     was_planner: bool,
 }
 
-impl Calls {
+impl ListCalls {
     pub(crate) fn new(
         follower: TargetFollower,
         state: Arc<State>,
@@ -57,10 +58,10 @@
         Self { follower, state, peer_node, pending, failures, call_at, was_planner }
     }
 
-    /// Asks the store for the list when that is due.
+    /// Calls the store for the list when that is due.
     pub(crate) fn step(&mut self, now: Time, latency: Option<&Latency>, rng: &mut StdRng) {
         if let Some(pending) = self.pending.take() {
-            self.go_on(pending, now);
+            self.advance(pending, now);
             return;
         }
         if now < self.call_at {
@@ -73,34 +74,36 @@
         }
         if is_planner || self.state.list_fresh_for(now).is_zero() {
             let mut draw = |range: Range<u64>| Duration::from_millis(rng.random_range(range));
-            let asked_at = now + latency.map_or(Duration::ZERO, |l| draw(l.there.clone()));
-            let ends_at = asked_at + latency.map_or(Duration::ZERO, |l| draw(l.back.clone()));
+            let arrives_at = now + latency.map_or(Duration::ZERO, |l| draw(l.request.clone()));
+            let ends_at = arrives_at + latency.map_or(Duration::ZERO, |l| draw(l.response.clone()));
             let call = self.follower.begin();
-            self.go_on(Pending { call, asked_at, ends_at, answer: None }, now);
+            self.advance(PendingCall { call, arrives_at, ends_at, response: None }, now);
         }
     }
 
-    /// Has a call reach the store, or its answer come back, when that is due.
-    fn go_on(&mut self, mut pending: Pending, now: Time) {
-        if pending.answer.is_none() && now >= pending.asked_at {
-            pending.answer = Some(self.follower.request(pending.call));
+    /// Makes the request reach the store, or ends the call, when that is due.
+    fn advance(&mut self, mut pending: PendingCall, now: Time) {
+        if pending.response.is_none() && now >= pending.arrives_at {
+            pending.response = Some(self.follower.request(pending.call));
         }
-        let Some(answer) = pending.answer.take_if(|_| now >= pending.ends_at) else {
+        let Some(response) = pending.response.take_if(|_| now >= pending.ends_at) else {
             self.pending = Some(pending);
             return;
         };
         let is_late = now.since(pending.call.started_at()) > CALL_TIMEOUT;
-        let answer = if is_late { Err(Error::unknown("store", "timeout")) } else { answer };
-        let outcome = self.follower.end(pending.call, answer);
+        let response = if is_late { Err(Error::unknown("store", "timeout")) } else { response };
+        let outcome = self.follower.end(pending.call, response);
         self.failures = if outcome == CallOutcome::Failed { self.failures + 1 } else { 0 };
-        self.call_at = now + self.pause(outcome);
+        self.call_at = now + self.next_call_delay(outcome);
     }
 
-    /// Returns how long to pause after a call.
-    fn pause(&self, outcome: CallOutcome) -> Duration {
+    /// Returns the delay until the next call.
+    fn next_call_delay(&self, outcome: CallOutcome) -> Duration {
         match outcome {
             CallOutcome::HistoryLost => Duration::ZERO,
-            CallOutcome::Failed => backoff::exponential(RETRY_FIRST, self.failures - 1, RETRY_MOST),
+            CallOutcome::Failed => {
+                backoff::exponential(INITIAL_RETRY_DELAY, self.failures - 1, MAX_RETRY_DELAY)
+            }
             CallOutcome::Succeeded if self.peer_node.is_planner() => {
                 self.state.spans.list_poll_interval
             }
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -1,5 +1,5 @@
-//! Daemons before targets that crash under some requests and end for other reasons too, drawn from a
-//! seed, in virtual time.
+//! A simulation of daemons and targets that crash under some requests and end for other reasons
+//! too, with faults drawn from a seed, in virtual time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,68 +16,70 @@
 
 use super::{hosts::Hosts, network::Network};
 
-/// How often the model looks at everything; a datagram takes as long.
+/// The interval of the simulation; a datagram takes as long.
 const STEP: Duration = Duration::from_millis(5);
-/// Daemons that have been undisturbed for this long are held to the bound.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Sends of a poison request that are allowed this long after the third crash.
-const LATE_SENDS: usize = 3;
-/// All know of a crash within this span on a calm network, the look at the target included.
+/// Daemons that have been undisturbed for this long must meet the bound.
+const MIN_UNDISTURBED: Duration = Duration::from_secs(3);
+/// The allowed sends of a poison request later than `MIN_UNDISTURBED` after its third crash.
+const MAX_LATE_SENDS: usize = 3;
+/// Without faults, daemons receive the report of a crash within this time, the check of the target
+/// included.
 const KNOWN_WITHIN: Duration = Duration::from_millis(100);
-/// Of a hundred daemons, as many.
-const KNOWN_SHARE: f64 = 0.99;
-/// Sends that may begin after the third crash where nothing disturbs daemons.
-const CALM_SENDS: usize = 1;
+/// The share of daemons that must have received it by then.
+const MIN_KNOWN_SHARE: f64 = 0.99;
+/// The allowed sends after the third crash where daemons have no faults.
+const MAX_FAULT_FREE_SENDS: usize = 1;
 const TARGETS: usize = 8;
-/// Callers ask for this long before anything goes wrong.
-const CALM_START: Duration = Duration::from_secs(5);
-/// Sends of one attempt.
-const SENDS: u32 = 2;
-/// The first key of poison requests; innocent ones have lower ones.
-const POISON: u128 = 1 << 100;
-
-/// What goes wrong beside the poison requests, in times a second and shares.
+/// Callers send requests for this long before faults begin.
+const WARM_UP: Duration = Duration::from_secs(5);
+/// The maximum number of sends of one attempt.
+const MAX_SENDS: u32 = 2;
+/// The lowest key of poison requests; innocent requests have lower keys.
+const FIRST_POISON_KEY: u128 = 1 << 100;
+
+/// The poison requests and other faults, as events per second and shares.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Troubles {
-    /// Requests under which targets crash, that come again all the while.
+    /// The number of different requests under which targets crash; all of them are repeated.
     pub(crate) poisons: u128,
-    /// Targets that end for another reason.
+    /// Exits of targets for another reason.
     pub(crate) kills: f64,
-    /// Targets that reset what they have and live on.
+    /// Targets that reset all their connections and stay up.
     pub(crate) resets: f64,
-    /// Daemons that start again, freeze or lose the store.
+    /// Restarts, freezes and store disconnections of single daemons.
     pub(crate) daemons: f64,
-    /// All daemons that end at once.
+    /// Simultaneous restarts of all daemons.
     pub(crate) herds: f64,
-    /// Datagrams lost, and how much later they come, in milliseconds.
+    /// The share of datagrams that are lost, and the bound on their random extra delay in
+    /// milliseconds.
     pub(crate) loss: f64,
     pub(crate) jitter: u64,
 }
 
-/// Who asks, and how often the same comes again.
+/// The requests of callers, and how often equal ones are repeated.
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
-    /// Innocent requests that arrive in a second.
+    /// Innocent requests per second.
     pub(crate) innocent_per_s: f64,
-    /// Different ones among them: few come again and again, as a poll does.
+    /// The number of different keys among them; a low number repeats each, as polls do.
     pub(crate) innocent_keys: u128,
-    /// How long after its last attempt a poison request comes again, in milliseconds.
+    /// The range of the time after which a poison request is repeated, in milliseconds.
     pub(crate) again_ms: Range<u64>,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Outcome {
-    /// What broke, in words.
+    /// Violated bounds, as text.
     pub(crate) broken: Vec<String>,
     /// Attempts of innocent requests, and those of them that were rejected.
     pub(crate) innocent: usize,
     pub(crate) rejected: usize,
-    /// The most sends of one poison request that were begun after its third crash.
+    /// The maximum number of sends of one poison request that began after its third crash.
     pub(crate) begun_after: usize,
 }
 
-/// One run of a target; another has its address once it has ended.
+/// One run of a target; after its end another run gets its address.
 #[derive(Clone, Copy)]
 struct Target {
     run: u64,
@@ -86,65 +88,65 @@
 
 /// A request at a target.
 #[derive(Clone, Copy)]
-struct Sent {
+struct SentRequest {
     daemon: usize,
     /// The run of the daemon.
     epoch: u64,
     key: RequestKey,
     target: usize,
     run: u64,
-    opened: Time,
-    ends: Time,
+    opened_at: Time,
+    ends_at: Time,
     sends: u32,
 }
 
-impl Sent {
+impl SentRequest {
     fn is_poison(&self) -> bool {
-        self.key.0 >= POISON
+        self.key.0 >= FIRST_POISON_KEY
     }
 }
 
-/// What has happened under a poison request.
+/// The crashes and sends of a poison request.
 #[derive(Default)]
-struct Story {
+struct PoisonHistory {
     crashes: Vec<Time>,
-    /// When daemons that are held to the bound sent it.
+    /// When it was sent, and whether by a daemon that must meet the bound.
     sends: Vec<(Time, bool)>,
-    again_at: Time,
+    next_at: Time,
 }
 
 pub(crate) struct Crashes {
     pub(crate) network: Network,
     rng: StdRng,
-    troubles: Troubles,
+    faults: Troubles,
     callers: Callers,
     targets: Vec<Target>,
-    under_way: Vec<Sent>,
-    stories: BTreeMap<RequestKey, Story>,
+    in_flight: Vec<SentRequest>,
+    histories: BTreeMap<RequestKey, PoisonHistory>,
     hosts: Hosts,
     runs: u64,
-    /// Poison requests whose third crash all should know of by then.
+    /// Poison requests with a third crash, and when daemons must have received it.
     due: Vec<(Time, RequestKey)>,
     outcome: Outcome,
 }
 
 impl Crashes {
-    pub(crate) fn new(seed: u64, daemons: usize, troubles: Troubles, callers: Callers) -> Self {
+    pub(crate) fn new(seed: u64, daemons: usize, faults: Troubles, callers: Callers) -> Self {
         let mut network = Network::new(daemons, TARGETS, Duration::from_secs(2));
         network.rng = StdRng::seed_from_u64(seed);
         network.run(Duration::from_secs(6));
-        network.loss = troubles.loss;
-        network.jitter = troubles.jitter;
+        network.loss = faults.loss;
+        network.jitter = faults.jitter;
         let target = |n| Target { run: n, up_at: Time::default() };
-        let key = |n| (RequestKey(POISON + n), Story::default());
+        let key = |n| (RequestKey(FIRST_POISON_KEY + n), PoisonHistory::default());
         Self {
             network,
             rng: StdRng::seed_from_u64(seed),
-            troubles,
+            faults,
             callers,
             targets: (0..TARGETS as u64).map(target).collect(),
-            under_way: Vec::new(),
-            stories: (0..troubles.poisons).map(key).collect(),
+            in_flight: Vec::new(),
+            histories: (0..faults.poisons).map(key).collect(),
             hosts: Hosts::new(daemons),
             runs: TARGETS as u64,
             due: Vec::new(),
@@ -152,18 +154,18 @@
         }
     }
 
-    /// Lets `span` pass after a calm start and returns what came of it.
-    pub(crate) fn run(mut self, span: Duration) -> Outcome {
-        let begin = self.now() + CALM_START;
-        while self.now() < begin + span {
+    /// Runs for `duration` after a start without faults and returns the results.
+    pub(crate) fn run(mut self, duration: Duration) -> Outcome {
+        let begin = self.now() + WARM_UP;
+        while self.now() < begin + duration {
             self.network.run(STEP);
             if self.now() >= begin {
                 self.disturb();
-                self.ask_poisons();
+                self.send_poison_requests();
             }
-            self.ask();
-            self.go_on();
-            self.check_known();
+            self.send_innocent_requests();
+            self.finish_requests();
+            self.check_convictions();
         }
         self.check_sends();
         self.outcome
@@ -173,30 +175,30 @@
         self.network.clock_now()
     }
 
-    fn happens(&mut self, per_s: f64) -> bool {
+    fn occurs(&mut self, per_s: f64) -> bool {
         self.rng.random_bool((per_s * STEP.as_secs_f64()).min(1.0))
     }
 
-    fn span(&mut self, ms: Range<u64>) -> Duration {
+    fn random_duration(&mut self, ms: Range<u64>) -> Duration {
         Duration::from_millis(self.rng.random_range(ms))
     }
 
     fn disturb(&mut self) {
         let now = self.now();
-        if self.happens(self.troubles.kills) {
+        if self.occurs(self.faults.kills) {
             let n = self.rng.random_range(0..TARGETS);
-            self.end(n, now);
+            self.end_target(n, now);
         }
-        if self.happens(self.troubles.resets) {
-            self.reset(now);
+        if self.occurs(self.faults.resets) {
+            self.reset_target(now);
         }
-        if self.happens(self.troubles.daemons) {
+        if self.occurs(self.faults.daemons) {
             self.disturb_daemon();
         }
-        if self.happens(self.troubles.herds) {
+        if self.occurs(self.faults.herds) {
             self.hosts.restart_all(&mut self.network);
         }
-        self.hosts.cut(Time::default(), &self.network);
+        self.hosts.update_store_access(Time::default(), &self.network);
     }
 
     fn disturb_daemon(&mut self) {
@@ -205,80 +207,83 @@
         self.hosts.disturb(n, 200..4_000, &mut self.network, &mut self.rng);
     }
 
-    /// Ends a target: what it has is cut off, and another run has its place some seconds later.
-    fn end(&mut self, n: usize, now: Time) {
+    /// Ends a target: the connections of its requests close early, and another run replaces it some
+    /// seconds later.
+    fn end_target(&mut self, n: usize, now: Time) {
         if now < self.targets[n].up_at {
             return;
         }
-        let cut = self.take_from(n);
+        let closed = self.take_from(n);
         self.runs += 1;
-        let up_at = now + self.span(400..4_000);
+        let up_at = now + self.random_duration(400..4_000);
         let before = std::mem::replace(&mut self.targets[n], Target { run: self.runs, up_at });
-        cut.into_iter().for_each(|sent| self.cut_off(sent, before.run, Presence::Ended, now));
+        closed
+            .into_iter()
+            .for_each(|sent| self.close_early(sent, before.run, Presence::Ended, now));
     }
 
-    fn reset(&mut self, now: Time) {
+    fn reset_target(&mut self, now: Time) {
         let n = self.rng.random_range(0..TARGETS);
         let run = self.targets[n].run;
-        let cut = self.take_from(n);
-        cut.into_iter().for_each(|sent| self.cut_off(sent, run, Presence::Listening, now));
+        let closed = self.take_from(n);
+        closed.into_iter().for_each(|sent| self.close_early(sent, run, Presence::Listening, now));
     }
 
-    fn take_from(&mut self, n: usize) -> Vec<Sent> {
-        self.under_way.extract_if(.., |sent| sent.target == n).collect()
+    fn take_from(&mut self, n: usize) -> Vec<SentRequest> {
+        self.in_flight.extract_if(.., |sent| sent.target == n).collect()
     }
 
-    /// Has the daemon of a request see that its target has cut it off, and send it elsewhere.
-    fn cut_off(&mut self, sent: Sent, run: u64, presence: Presence, now: Time) {
+    /// Makes the daemon of a request record that its connection closed early, and retry it.
+    fn close_early(&mut self, sent: SentRequest, run: u64, presence: Presence, now: Time) {
         let node = &self.network.nodes[sent.daemon];
         if self.hosts.epoch(sent.daemon) != sent.epoch {
             return;
         }
         {
             let mut poison = node.state.poison();
-            if poison.cut_off(sent.key, RunKey(run), sent.opened, now) == CheckState::Due {
+            if poison.cut_off(sent.key, RunKey(run), sent.opened_at, now) == CheckState::Due {
                 poison.record_check(RunKey(run), presence, now);
             }
         }
-        if sent.sends < SENDS && node.runs_at(now) {
-            self.send_again(sent.daemon, sent.key, now);
+        if sent.sends < MAX_SENDS && node.runs_at(now) {
+            self.retry(sent.daemon, sent.key, now);
         }
     }
 
-    /// Has poison requests arrive at daemons.
-    fn ask_poisons(&mut self) {
+    /// Sends the poison requests that are due to daemons.
+    fn send_poison_requests(&mut self) {
         let now = self.now();
-        let poisons: Vec<RequestKey> = self.stories.keys().copied().collect();
+        let poisons: Vec<RequestKey> = self.histories.keys().copied().collect();
         for key in poisons {
-            if now >= self.stories[&key].again_at {
-                let again = now + self.span(self.callers.again_ms.clone());
-                self.stories.entry(key).and_modify(|story| story.again_at = again);
+            if now >= self.histories[&key].next_at {
+                let next_at = now + self.random_duration(self.callers.again_ms.clone());
+                self.histories.entry(key).and_modify(|history| history.next_at = next_at);
                 self.arrive(key, now);
             }
         }
     }
 
-    /// Has innocent requests arrive at daemons.
-    fn ask(&mut self) {
+    /// Sends innocent requests to daemons.
+    fn send_innocent_requests(&mut self) {
         let now = self.now();
-        if self.happens(self.callers.innocent_per_s) {
+        if self.occurs(self.callers.innocent_per_s) {
             let key = RequestKey(self.rng.random_range(0..self.callers.innocent_keys));
             self.arrive(key, now);
         }
     }
 
     fn arrive(&mut self, key: RequestKey, now: Time) {
-        let takes = |n: &usize| {
+        let accepts_requests = |n: &usize| {
             let node = &self.network.nodes[*n];
             node.takes_requests && node.runs_at(now)
         };
-        let taking: Vec<usize> = (0..self.hosts.len()).filter(takes).collect();
+        let taking: Vec<usize> = (0..self.hosts.len()).filter(accepts_requests).collect();
         let Some(daemon) = taking.into_iter().choose(&mut self.rng) else { return };
         let state = &self.network.nodes[daemon].state;
         let is_convicted = state.poison().is_convicted(key);
         let is_trial = is_convicted && state.begin_trial(key);
         let is_rejected = is_convicted && !is_trial;
-        if key.0 < POISON {
+        if key.0 < FIRST_POISON_KEY {
             self.outcome.innocent += 1;
             self.outcome.rejected += usize::from(is_rejected);
         }
@@ -287,32 +292,43 @@
         }
     }
 
-    fn send_again(&mut self, daemon: usize, key: RequestKey, now: Time) {
+    fn retry(&mut self, daemon: usize, key: RequestKey, now: Time) {
         if !self.network.nodes[daemon].state.poison().is_convicted(key) {
-            self.send(daemon, key, SENDS, now);
+            self.send(daemon, key, MAX_SENDS, now);
         }
     }
 
     fn send(&mut self, daemon: usize, key: RequestKey, sends: u32, now: Time) {
         let up = (0..TARGETS).filter(|n| now >= self.targets[*n].up_at);
         let Some(target) = up.choose(&mut self.rng) else { return };
-        let is_poison = key.0 >= POISON;
-        let takes = if is_poison { self.span(10..80) } else { self.span(50..2_000) };
-        if let Some(story) = self.stories.get_mut(&key) {
-            let is_bound = self.hosts.is_sound(daemon, CONTACT, now);
-            story.sends.push((now, is_bound));
+        let is_poison = key.0 >= FIRST_POISON_KEY;
+        let duration =
+            if is_poison { self.random_duration(10..80) } else { self.random_duration(50..2_000) };
+        if let Some(history) = self.histories.get_mut(&key) {
+            let must_meet_bound = self.hosts.is_undisturbed(daemon, MIN_UNDISTURBED, now);
+            history.sends.push((now, must_meet_bound));
         }
         let (epoch, run) = (self.hosts.epoch(daemon), self.targets[target].run);
-        let ends = now + takes;
-        self.under_way.push(Sent { daemon, epoch, key, target, run, opened: now, ends, sends });
+        let ends_at = now + duration;
+        self.in_flight.push(SentRequest {
+            daemon,
+            epoch,
+            key,
+            target,
+            run,
+            opened_at: now,
+            ends_at,
+            sends,
+        });
     }
 
-    /// Lets requests end: poison ones with their target, the others with a whole answer.
-    fn go_on(&mut self) {
+    /// Ends the requests that are due: poison requests with their target, others with a full
+    /// response.
+    fn finish_requests(&mut self) {
         let now = self.now();
-        let is_due = |sent: &mut Sent| now >= sent.ends;
-        let mut due: Vec<Sent> = self.under_way.extract_if(.., is_due).collect();
-        due.sort_by_key(|sent| sent.ends);
+        let is_due = |sent: &mut SentRequest| now >= sent.ends_at;
+        let mut due: Vec<SentRequest> = self.in_flight.extract_if(.., is_due).collect();
+        due.sort_by_key(|sent| sent.ends_at);
         for sent in due {
             if sent.run != self.targets[sent.target].run {
                 continue;
@@ -323,56 +339,60 @@
             }
             let node = &self.network.nodes[sent.daemon];
             if self.hosts.epoch(sent.daemon) == sent.epoch && node.runs_at(now) {
-                node.state.poison().answered(sent.key, RunKey(sent.run), sent.opened, now);
+                node.state.poison().answered(sent.key, RunKey(sent.run), sent.opened_at, now);
             }
         }
     }
 
-    fn crash(&mut self, sent: Sent, now: Time) {
-        let story = self.stories.entry(sent.key).or_default();
-        story.crashes.push(now);
-        if story.crashes.len() == CRASHES_TO_CONVICT {
+    fn crash(&mut self, sent: SentRequest, now: Time) {
+        let history = self.histories.entry(sent.key).or_default();
+        history.crashes.push(now);
+        if history.crashes.len() == CRASHES_TO_CONVICT {
             self.due.push((now + KNOWN_WITHIN, sent.key));
         }
-        self.under_way.push(sent);
-        self.end(sent.target, now);
+        self.in_flight.push(sent);
+        self.end_target(sent.target, now);
     }
 
-    /// Tells whether nothing disturbs daemons and what they tell each other.
-    fn is_calm(&self) -> bool {
-        let Troubles { daemons, herds, loss, .. } = self.troubles;
+    /// Returns whether daemons and the messages between them have no faults.
+    fn is_fault_free(&self) -> bool {
+        let Troubles { daemons, herds, loss, .. } = self.faults;
         daemons + herds + loss == 0.0
     }
 
-    /// Checks that daemons know of a third crash soon, where nothing disturbs them.
-    fn check_known(&mut self) {
+    /// Checks that daemons receive a third crash in time, where they have no faults.
+    fn check_convictions(&mut self) {
         let now = self.now();
-        if !self.is_calm() {
+        if !self.is_fault_free() {
             return;
         }
         let due: BTreeSet<RequestKey> =
             self.due.extract_if(.., |(at, _)| now >= *at).map(|(_, key)| key).collect();
         for key in due {
             let all = self.network.nodes.len();
-            let knows = |n: &&super::network::Node| n.state.poison().is_convicted(key);
-            let know = self.network.nodes.iter().filter(knows).count();
-            if (know as f64) < KNOWN_SHARE * all as f64 {
-                self.outcome.broken.push(format!("{know} of {all} know {key}"));
+            let has_convicted = |n: &&super::network::Node| n.state.poison().is_convicted(key);
+            let convicted = self.network.nodes.iter().filter(has_convicted).count();
+            if (convicted as f64) < MIN_KNOWN_SHARE * all as f64 {
+                self.outcome.broken.push(format!("{convicted} of {all} daemons convicted {key}"));
             }
         }
     }
 
     fn check_sends(&mut self) {
-        for (key, story) in &self.stories {
-            let Some(third) = story.crashes.get(CRASHES_TO_CONVICT - 1) else { continue };
-            let begun = story.sends.iter().filter(|(at, _)| at > third).count();
+        for (key, history) in &self.histories {
+            let Some(third) = history.crashes.get(CRASHES_TO_CONVICT - 1) else { continue };
+            let begun = history.sends.iter().filter(|(at, _)| at > third).count();
             self.outcome.begun_after = self.outcome.begun_after.max(begun);
-            if self.is_calm() && begun > CALM_SENDS {
-                self.outcome.broken.push(format!("{begun} sends of {key} begun after the third"));
+            if self.is_fault_free() && begun > MAX_FAULT_FREE_SENDS {
+                self.outcome
+                    .broken
+                    .push(format!("{begun} sends of {key} began after the third crash"));
             }
-            let is_late = |(at, is_bound): &&(Time, bool)| *is_bound && at.since(*third) > CONTACT;
-            let late = story.sends.iter().filter(is_late).count();
-            if late > LATE_SENDS {
+            let is_late = |(at, must_meet_bound): &&(Time, bool)| {
+                *must_meet_bound && at.since(*third) > MIN_UNDISTURBED
+            };
+            let late = history.sends.iter().filter(is_late).count();
+            if late > MAX_LATE_SENDS {
                 self.outcome.broken.push(format!("{late} late sends of {key}"));
             }
         }
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -1,4 +1,5 @@
-//! Hundreds of daemons that talk over a network that delays and loses datagrams, in virtual time.
+//! A simulation of hundreds of daemons on a network that delays and loses datagrams, in virtual
+//! time.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -33,32 +34,35 @@
 
 use super::{
     TURN,
-    calls::{Calls, Latency},
+    calls::{Latency, ListCalls},
     engine::FakeTarget,
-    table::{Door, Table},
+    table::{StoreClient, Table},
     target,
 };
 
 const TICK: Duration = Duration::from_millis(5);
-/// How often a daemon without the store tries the planner's row.
-const KEEP_WITHOUT_STORE: Duration = Duration::from_millis(1000);
-/// How often the planner follows the configuration, and a daemon without the store tries to.
-const CONFIG_PACE: Duration = Duration::from_millis(500);
-const CONFIG_RETRY: Duration = Duration::from_millis(250);
-/// Daemons with a good link, of every twenty.
-const GOOD: usize = 20;
+/// The interval at which a daemon without the store retries the planner's row.
+const LEASE_RETRY_INTERVAL: Duration = Duration::from_millis(1000);
+/// The intervals at which the planner polls the configuration, and a daemon without the store
+/// retries it.
+const CONFIG_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Every twentieth daemon has a good link.
+const GOOD_LINK_STRIDE: usize = 20;
 
 struct Datagram {
     at: Time,
     from: SocketAddr,
     to: SocketAddr,
     bytes: Vec<u8>,
-    is_on_its_way: bool,
+    /// Whether its random extra delay has been added.
+    is_jittered: bool,
 }
 
 #[derive(Default)]
 struct Traffic {
-    under_way: Vec<Datagram>,
+    in_flight: Vec<Datagram>,
+    /// The numbers of datagrams and of bytes by sender.
     sent: HashMap<SocketAddr, (u64, u64)>,
 }
 
@@ -71,42 +75,42 @@
 
 impl DatagramSender for Socket {
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        let mut traffic = self.traffic.lock().expect("no test panics with it");
+        let mut traffic = self.traffic.lock().expect("the lock is not poisoned");
         let sent = traffic.sent.entry(self.address).or_default();
         *sent = (sent.0 + 1, sent.1 + bytes.len() as u64);
         let at = self.clock.now() + TICK;
-        traffic.under_way.push(Datagram {
+        traffic.in_flight.push(Datagram {
             at,
             from: self.address,
             to,
             bytes: bytes.to_vec(),
-            is_on_its_way: false,
+            is_jittered: false,
         });
         Ok(())
     }
 }
 
-/// One daemon, and when it does what next.
+/// One daemon, and the times of its next steps.
 pub(crate) struct Node {
     pub(crate) address: SocketAddr,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
     keeper: Arc<LeaseKeeper>,
     pub(crate) peer_node: Arc<PeerNode>,
-    pub(crate) calls: Calls,
+    pub(crate) calls: ListCalls,
     poison: PoisonKeeper,
     config: ConfigFollower,
     table: Table,
     config_at: Time,
-    /// Whether it has what it must read before it takes requests.
+    /// Whether the daemon has read what it needs before it accepts requests.
     pub(crate) takes_requests: bool,
-    is_cut: Arc<AtomicBool>,
+    is_disconnected: Arc<AtomicBool>,
     pub(crate) is_dead: bool,
-    /// Until then it does nothing.
+    /// The daemon does nothing until then.
     pub(crate) frozen_until: Time,
-    keep_at: Time,
-    beat_at: Time,
-    seen: u64,
+    lease_step_at: Time,
+    heartbeat_at: Time,
+    seen_changes: u64,
 }
 
 /// All daemons, their store and the network between them.
@@ -116,28 +120,29 @@
     pub(crate) nodes: Vec<Node>,
     /// The share of datagrams that are lost.
     pub(crate) loss: f64,
-    /// How much longer than the least datagrams take, in milliseconds; they overtake each other.
+    /// The bound on the random extra delay of a datagram, in milliseconds; datagrams may arrive out
+    /// of order.
     pub(crate) jitter: u64,
-    /// How long calls for the list take; without it they take no time.
+    /// The time that calls for the list take; none if unset.
     pub(crate) latency: Option<Latency>,
-    /// Daemons whose datagrams to others than the planner are lost.
+    /// The daemon whose datagrams are lost unless they go to the planner.
     pub(crate) mute: Option<SocketAddr>,
-    /// Daemons that no datagram reaches or leaves.
+    /// Daemons that neither send nor receive datagrams.
     pub(crate) isolated: BTreeSet<SocketAddr>,
-    /// Whether datagrams wait for daemons that are frozen; they are lost otherwise.
-    pub(crate) keeps_for_frozen: bool,
-    /// Bounds on keys and quotas.
+    /// Whether datagrams to frozen daemons are queued; they are lost otherwise.
+    pub(crate) queues_for_frozen: bool,
+    /// Options of keys and quotas.
     pub(crate) access: AccessOptions,
     traffic: Arc<Mutex<Traffic>>,
     pub(crate) rng: StdRng,
     changes: u64,
-    runs: u64,
+    restarts: u64,
     pub(crate) spans: FreshnessLimits,
 }
 
 impl Network {
-    /// Makes `daemons` that start together before `targets`, one of which that leaves must get
-    /// nothing new after `leave_within`.
+    /// Creates `daemons` that start together, and their `targets`; a target that leaves must
+    /// receive no new request after `leave_within`.
     pub(crate) fn new(daemons: usize, targets: usize, leave_within: Duration) -> Self {
         let clock = ManualClock::new();
         clock.advance(Duration::from_secs(100));
@@ -153,28 +158,28 @@
             latency: None,
             mute: None,
             isolated: BTreeSet::new(),
-            keeps_for_frozen: false,
+            queues_for_frozen: false,
             access: AccessOptions::default(),
             traffic,
             rng: StdRng::seed_from_u64(5),
             changes: 0,
-            runs: 0,
+            restarts: 0,
             spans: FreshnessLimits::from_bounds(&Bounds { leave_within, ..Bounds::default() }),
         };
         network.nodes = (0..daemons).map(|n| network.node(n)).collect();
         network
     }
 
-    /// Starts so many daemons more.
+    /// Starts `daemons` more.
     pub(crate) fn add_nodes(&mut self, daemons: usize) {
         let first = self.nodes.len();
         let more: Vec<Node> = (first..first + daemons).map(|n| self.node(n)).collect();
         self.nodes.extend(more);
     }
 
-    /// Ends a daemon and starts it again, with nothing of what it knew.
+    /// Restarts a daemon without its former state.
     pub(crate) fn restart(&mut self, n: usize) {
-        self.runs += 1;
+        self.restarts += 1;
         self.nodes[n] = self.node(n);
     }
 
@@ -187,8 +192,8 @@
         let state = Arc::new(State::new(zone.clone(), options, clock));
         let lease = Arc::new(SharedLease::default());
         let daemon: Arc<str> = format!("d{n}").into();
-        let incarnation: Arc<str> = format!("d{n}-{}", self.runs).into();
-        let is_good = n.is_multiple_of(GOOD);
+        let incarnation: Arc<str> = format!("d{n}-{}", self.restarts).into();
+        let has_good_link = n.is_multiple_of(GOOD_LINK_STRIDE);
         let holder = LeaseHolder {
             daemon: Arc::clone(&daemon),
             incarnation: Arc::clone(&incarnation),
@@ -199,10 +204,13 @@
             rests: BTreeMap::new(),
             all_rest: 0,
         };
-        let is_cut = Arc::new(AtomicBool::new(false));
-        let door = Door { table: self.table.clone(), is_cut: Arc::clone(&is_cut) };
-        let store: Arc<dyn Store> = Arc::new(door);
-        let reluctance = if is_good { Reluctance::None } else { Reluctance::Reluctant };
+        let is_disconnected = Arc::new(AtomicBool::new(false));
+        let store_client = StoreClient {
+            table: self.table.clone(),
+            is_disconnected: Arc::clone(&is_disconnected),
+        };
+        let store: Arc<dyn Store> = Arc::new(store_client);
+        let reluctance = if has_good_link { Reluctance::None } else { Reluctance::Reluctant };
         let options = LeaseOptions { handover_interval: TURN };
         let keeper = LeaseKeeper::new(
             Arc::clone(&state),
@@ -225,17 +233,17 @@
         });
         let (clock, traffic) = (self.clock.clone(), Arc::clone(&self.traffic));
         let socket = Arc::new(Socket { clock, traffic, address });
-        let link_mbps = Some(if is_good { 200 } else { 20 });
-        let me = DaemonIdentity { daemon, incarnation, address, zone, link_mbps };
-        let peer_node = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, me));
-        let known = Arc::new(AtomicBool::new(false));
+        let link_mbps = Some(if has_good_link { 200 } else { 20 });
+        let identity = DaemonIdentity { daemon, incarnation, address, zone, link_mbps };
+        let peer_node = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, identity));
+        let has_read = Arc::new(AtomicBool::new(false));
         let poison = PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store));
         let config = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
-        let follower = TargetFollower::new(Arc::clone(&state), store, known);
-        let calls = Calls::new(follower, Arc::clone(&state), Arc::clone(&peer_node));
-        // Beats of daemons are spread.
-        let beat_at = self.clock.now() + TICK * (n % 60) as u32;
-        let keep_at = self.clock.now();
+        let follower = TargetFollower::new(Arc::clone(&state), store, has_read);
+        let calls = ListCalls::new(follower, Arc::clone(&state), Arc::clone(&peer_node));
+        // The heartbeats of the daemons are spread over time.
+        let heartbeat_at = self.clock.now() + TICK * (n % 60) as u32;
+        let lease_step_at = self.clock.now();
         Node {
             address,
             state,
@@ -246,33 +254,32 @@
             poison,
             config,
             table: self.table.clone(),
-            config_at: keep_at,
+            config_at: lease_step_at,
             takes_requests: false,
-            is_cut,
+            is_disconnected,
             is_dead: false,
             frozen_until: Time::default(),
-            keep_at,
-            beat_at,
-            seen: 0,
+            lease_step_at,
+            heartbeat_at,
+            seen_changes: 0,
         }
     }
 
-    /// Returns the time.
     pub(crate) fn clock_now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Lets a target hold another model.
+    /// Replaces the loaded model of one target.
     pub(crate) fn change(&mut self) {
         self.changes += 1;
         let n = self.changes % self.table.rows().targets.len() as u64;
-        let held = format!("m{}", self.changes);
-        self.table.put(target(&format!("t{n}"), &[held.as_str()], &["m1", "m2"]));
+        let model = format!("m{}", self.changes);
+        self.table.put(target(&format!("t{n}"), &[model.as_str()], &["m1", "m2"]));
     }
 
-    /// Lets time pass.
-    pub(crate) fn run(&mut self, span: Duration) {
-        let until = self.clock.now() + span;
+    /// Advances the time by `duration`.
+    pub(crate) fn run(&mut self, duration: Duration) {
+        let until = self.clock.now() + duration;
         while self.clock.now() < until {
             self.clock.advance(TICK);
             self.deliver();
@@ -287,27 +294,28 @@
     fn deliver(&mut self) {
         let now = self.clock.now();
         let mut due: Vec<Datagram> = {
-            let mut traffic = self.traffic.lock().expect("no test panics with it");
-            for d in traffic.under_way.iter_mut().filter(|d| !d.is_on_its_way) {
-                d.is_on_its_way = true;
+            let mut traffic = self.traffic.lock().expect("the lock is not poisoned");
+            for d in traffic.in_flight.iter_mut().filter(|d| !d.is_jittered) {
+                d.is_jittered = true;
                 if self.jitter > 0 {
                     d.at = d.at + Duration::from_millis(self.rng.random_range(0..self.jitter));
                 }
             }
-            traffic.under_way.extract_if(.., |d| d.at <= now).collect()
+            traffic.in_flight.extract_if(.., |d| d.at <= now).collect()
         };
         due.sort_by_key(|d| d.at);
-        if self.keeps_for_frozen {
-            self.keep_for_frozen(&mut due, now);
+        if self.queues_for_frozen {
+            self.requeue_for_frozen(&mut due, now);
         }
         let planner = self.planner().map(|n| n.address);
         for datagram in due {
             let is_mute = Some(datagram.from) == self.mute && Some(datagram.to) != planner;
-            let is_cut = [datagram.from, datagram.to].iter().any(|end| self.isolated.contains(end));
+            let is_isolated =
+                [datagram.from, datagram.to].iter().any(|end| self.isolated.contains(end));
             let to = self.nodes.iter().find(|n| n.address == datagram.to && n.runs_at(now));
             if let Some(to) = to
                 && !is_mute
-                && !is_cut
+                && !is_isolated
                 && !self.rng.random_bool(self.loss)
             {
                 to.peer_node.handle_datagram(&datagram.bytes, datagram.from);
@@ -315,16 +323,16 @@
         }
     }
 
-    fn keep_for_frozen(&self, due: &mut Vec<Datagram>, now: Time) {
-        let thaws_at = |d: &Datagram| {
+    fn requeue_for_frozen(&self, due: &mut Vec<Datagram>, now: Time) {
+        let resumes_at = |d: &Datagram| {
             let to = self.nodes.iter().find(|n| n.address == d.to)?;
             (now < to.frozen_until).then_some(to.frozen_until)
         };
-        let waits = due.extract_if(.., |d| thaws_at(d).is_some());
-        let mut traffic = self.traffic.lock().expect("no test panics with it");
-        traffic.under_way.extend(waits.map(|d| Datagram {
-            at: thaws_at(&d).unwrap_or(d.at),
-            is_on_its_way: true,
+        let delayed = due.extract_if(.., |d| resumes_at(d).is_some());
+        let mut traffic = self.traffic.lock().expect("the lock is not poisoned");
+        traffic.in_flight.extend(delayed.map(|d| Datagram {
+            at: resumes_at(&d).unwrap_or(d.at),
+            is_jittered: true,
             ..d
         }));
     }
@@ -335,86 +343,90 @@
         self.nodes.iter().find(|n| !n.is_dead && n.lease.is_valid(now))
     }
 
-    /// Returns how many living daemons know the list as the store has it.
+    /// Returns the number of running daemons whose list agrees with the store's.
     pub(crate) fn in_step(&self) -> usize {
         let rows = self.table.rows();
-        let knows = |n: &&Node| {
+        let is_up_to_date = |n: &&Node| {
             let fleet = n.state.fleet();
             rows.targets
                 .values()
                 .all(|t| fleet.target(&t.name).is_some_and(|known| known.models == t.models))
         };
-        self.nodes.iter().filter(|n| !n.is_dead).filter(knows).count()
+        self.nodes.iter().filter(|n| !n.is_dead).filter(is_up_to_date).count()
     }
 
-    /// Returns the most datagrams and the most bytes that a daemon has sent since the last time.
+    /// Returns the maximum numbers of datagrams and of bytes that a daemon has sent since the last
+    /// query.
     pub(crate) fn take_most_sent(&self) -> (u64, u64) {
-        let mut traffic = self.traffic.lock().expect("no test panics with it");
+        let mut traffic = self.traffic.lock().expect("the lock is not poisoned");
         let sent = std::mem::take(&mut traffic.sent);
-        let most = |of: fn(&(u64, u64)) -> u64| sent.values().map(of).max().unwrap_or(0);
-        (most(|s| s.0), most(|s| s.1))
+        let max = |of: fn(&(u64, u64)) -> u64| sent.values().map(of).max().unwrap_or(0);
+        (max(|s| s.0), max(|s| s.1))
     }
 }
 
 impl Node {
-    /// Tells whether it does something at `now`.
+    /// Returns whether the daemon is running at `now`.
     pub(crate) fn runs_at(&self, now: Time) -> bool {
         !self.is_dead && now >= self.frozen_until
     }
 
     fn step(&mut self, now: Time, latency: Option<&Latency>, rng: &mut StdRng) {
-        if now >= self.keep_at {
+        if now >= self.lease_step_at {
             let pause = self.keeper.step();
-            // What a daemon without the store draws is not of the seed.
-            self.keep_at = now + if self.is_cut() { pause.max(KEEP_WITHOUT_STORE) } else { pause };
+            // Retry delays without the store are not drawn from the seed; the fixed minimum keeps
+            // runs reproducible.
+            self.lease_step_at =
+                now + if self.is_disconnected() { pause.max(LEASE_RETRY_INTERVAL) } else { pause };
         }
         self.calls.step(now, latency, rng);
         self.takes_requests = self.takes_requests || self.poison.read();
         self.follow_config(now);
         self.peer_node.publish_evidence();
         self.peer_node.grant_permits();
-        // What is not written now is tried again with the next step.
+        // A write that fails is retried with the next step.
         self.poison.step(self.peer_node.is_planner());
         let count = self.state.demand_changed.count();
-        if now >= self.beat_at {
-            self.beat_at = now + HEARTBEAT_INTERVAL;
+        if now >= self.heartbeat_at {
+            self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.peer_node.step(StepReason::Heartbeat);
-        } else if count != self.seen {
+        } else if count != self.seen_changes {
             self.peer_node.step(StepReason::Change);
         }
-        self.seen = count;
+        self.seen_changes = count;
     }
 
-    /// Asks the store for the configuration when that is due.
+    /// Calls the store for the configuration when that is due.
     fn follow_config(&mut self, now: Time) {
-        if self.table.configured() == 0 {
+        if self.table.config_version() == 0 {
             return;
         }
-        let mine = self.state.catalog().map_or(0, |c| c.version);
+        let own_version = self.state.catalog().map_or(0, |c| c.version);
         let is_planner = self.peer_node.is_planner();
-        // The planner's call waits for changes, and ends with one.
-        let is_woken = is_planner && !self.is_cut() && self.table.configured() > mine;
+        // The planner's long-poll call ends as soon as there is a change.
+        let is_woken =
+            is_planner && !self.is_disconnected() && self.table.config_version() > own_version;
         if now < self.config_at && !is_woken {
             return;
         }
-        if !is_planner && mine > 0 && !self.state.config_fresh_for(mine).is_zero() {
+        if !is_planner && own_version > 0 && !self.state.config_fresh_for(own_version).is_zero() {
             return;
         }
         self.config.skip_next_wait();
-        // What a daemon draws for its pauses is not of the seed.
+        // The daemon's own delays are not drawn from the seed; fixed intervals replace them.
         self.config_at = match self.config.step() {
-            _ if self.is_cut() => now + CONFIG_RETRY,
-            _ if is_planner => now + CONFIG_PACE,
+            _ if self.is_disconnected() => now + CONFIG_RETRY_INTERVAL,
+            _ if is_planner => now + CONFIG_POLL_INTERVAL,
             _ => now,
         };
     }
 
-    fn is_cut(&self) -> bool {
-        self.is_cut.load(Ordering::SeqCst)
+    fn is_disconnected(&self) -> bool {
+        self.is_disconnected.load(Ordering::SeqCst)
     }
 
-    /// Cuts the daemon off from the store, or ends that.
-    pub(crate) fn cut(&self, is_cut: bool) {
-        self.is_cut.store(is_cut, Ordering::SeqCst);
+    /// Disconnects the daemon from the store, or reconnects it.
+    pub(crate) fn cut(&self, is_disconnected: bool) {
+        self.is_disconnected.store(is_disconnected, Ordering::SeqCst);
     }
 }
--- a/crates/tansyknot-fleet/tests/support/signals/actor.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/actor.rs
@@ -1,4 +1,4 @@
-//! Targets that say of themselves what they take, and what came to them.
+//! Runs of simulated targets, their signals and the requests that they received.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
     target::Target,
 };
 
-/// A target that has had nothing to say for this long is known as sound.
-const SOUND_AFTER: Duration = Duration::from_secs(2);
+/// A target that has sent no restricting signal for this long counts as unrestricted.
+const UNRESTRICTED_AFTER: Duration = Duration::from_secs(2);
 
-/// A request that has come to a target.
+/// A request that a target has received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Arrival {
     pub(super) at: Time,
-    pub(super) is_held_to_bounds: bool,
+    pub(super) must_meet_bounds: bool,
 }
 
-/// A span in which a target names one limit, or none.
+/// A period in which a target signals one limit, or none.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Spell {
+pub(super) struct LimitPeriod {
     pub(super) limit: Option<f64>,
     pub(super) since: Time,
-    /// When an answer came that was surely written in it, and to whom.
-    pub(super) known: Option<Known>,
+    /// When a response arrived that was certainly written in it, and at which daemon.
+    pub(super) receipt: Option<Receipt>,
 }
 
-/// When a daemon came to know something that it could tell others.
+/// When a daemon received something that it could send to others.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Known {
+pub(super) struct Receipt {
     pub(super) at: Time,
     pub(super) by: usize,
 }
 
-/// How a target leaves.
+/// The times of a target that leaves.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Leaving {
     pub(super) listed_at: Time,
@@ -43,41 +43,44 @@
 
 /// One run of a target.
 #[derive(Debug)]
-pub(super) struct Actor {
+pub(super) struct TargetRun {
     pub(super) entry: Target,
-    /// The last one lasts on.
-    pub(super) spells: Vec<Spell>,
+    /// The last one is the current period.
+    pub(super) periods: Vec<LimitPeriod>,
     pub(super) arrivals: Vec<Arrival>,
-    /// When the last answer came that was written before the last spell.
-    pub(super) former_until: Time,
-    /// Since when it says that it leaves, when the list says so, and when it is gone.
+    /// When the last response arrived that was written before the current period.
+    pub(super) former_received_at: Time,
+    /// When the list shows that it leaves, and when it is gone, once it signals that it leaves.
     pub(super) leaving: Option<Leaving>,
-    /// Until when it turns all requests away.
-    pub(super) rests_until: Time,
-    /// When its entry was written after it had lapsed.
-    pub(super) back: Time,
-    pub(super) lapsed_until: Option<Time>,
+    /// Until when it rejects all requests.
+    pub(super) rejects_until: Time,
+    /// When its entry was last written after it had expired.
+    pub(super) restored_at: Time,
+    pub(super) expired_until: Option<Time>,
 }
 
-impl Actor {
-    pub(super) fn spell(&self) -> Spell {
-        self.spells[self.spells.len() - 1]
+impl TargetRun {
+    pub(super) fn period(&self) -> LimitPeriod {
+        self.periods[self.periods.len() - 1]
     }
 
-    pub(super) fn begin_spell(&mut self, limit: Option<f64>, now: Time) {
-        self.spells.push(Spell { limit, since: now, known: None });
+    pub(super) fn begin_period(&mut self, limit: Option<f64>, now: Time) {
+        self.periods.push(LimitPeriod { limit, since: now, receipt: None });
     }
 
     pub(super) fn limit(&self) -> Option<f64> {
-        self.spell().limit
+        self.period().limit
     }
 
-    /// Tells whether it is known to take any number of requests.
-    pub(super) fn is_sound(&self, now: Time) -> bool {
-        let Spell { limit, known, .. } = self.spell();
-        let is_known = known.is_some_and(|known| now.since(known.at.max(self.back)) > SOUND_AFTER);
-        let is_open = self.leaving.is_none() && now.since(self.rests_until) > SOUND_AFTER;
-        limit.is_none() && self.lapsed_until.is_none() && is_known && is_open
+    /// Returns whether daemons have received that it accepts any number of requests.
+    pub(super) fn is_unrestricted(&self, now: Time) -> bool {
+        let LimitPeriod { limit, receipt, .. } = self.period();
+        let is_received = receipt.is_some_and(|receipt| {
+            now.since(receipt.at.max(self.restored_at)) > UNRESTRICTED_AFTER
+        });
+        let accepts_requests =
+            self.leaving.is_none() && now.since(self.rejects_until) > UNRESTRICTED_AFTER;
+        limit.is_none() && self.expired_until.is_none() && is_received && accepts_requests
     }
 
     pub(super) fn signals(&self) -> Signals {
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -1,4 +1,4 @@
-//! Requests on their way: they look for a target, wait for their turn, are sent and answered.
+//! Requests in progress: they select a target, wait for a permit, are sent and get a response.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,14 +18,14 @@
 };
 
 use super::{
-    CONTACT, Simulation,
-    actor::{Actor, Arrival},
+    MIN_UNDISTURBED, Simulation,
+    actor::{Arrival, TargetRun},
 };
 
-/// How often a request looks again that waits.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval at which a waiting request tries to select a target.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A request that looks for a target.
+/// A request that waits for a target.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) daemon: usize,
@@ -33,24 +33,24 @@
     pub(super) model: ModelName,
     pub(super) priority: u8,
     pub(super) until: Time,
-    pub(super) asking: Option<(u32, RunKey)>,
+    pub(super) permit_request: Option<(u32, RunKey)>,
     pub(super) permit: Option<Permit>,
-    pub(super) look_at: Time,
-    pub(super) seen: u64,
+    pub(super) next_try_at: Time,
+    pub(super) seen_changes: u64,
     pub(super) tried: Vec<TargetName>,
 }
 
-/// How far a request has come that has a target.
+/// The progress of a request that has a target.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Stage {
-    /// The connection opens.
-    Connects,
+    /// The connection is being opened.
+    Connecting,
     /// The request is on its way.
     Sent,
-    /// The target writes the head of its answer.
-    Writes,
-    /// The head is on its way that was written at this time.
-    Answered(Signals, Outcome, Time),
+    /// The target prepares the head of its response.
+    Responding,
+    /// The head, written at this time, is on its way.
+    Responded(Signals, Outcome, Time),
 }
 
 #[derive(Clone, Debug)]
@@ -64,20 +64,20 @@
 
 pub(super) enum Found {
     Target(Arc<Target>),
-    Nothing,
-    /// No turn comes in time.
-    InVain,
+    NoTarget,
+    /// No permit becomes available in time.
+    NotInTime,
 }
 
 impl Simulation {
-    pub(super) fn ask(&mut self) {
-        if !self.happens(self.asked_per_s) {
+    pub(super) fn add_request(&mut self) {
+        if !self.occurs(self.requests_per_s) {
             return;
         }
         let daemon = self.rng.random_range(0..self.hosts.len());
         let model = if self.rng.random_bool(0.5) { "m9" } else { "m0" };
         let now = self.now();
-        let until = now + self.span(800..4000);
+        let until = now + self.random_duration(800..4000);
         self.result.requests += 1;
         self.waiting.push(Request {
             daemon,
@@ -85,40 +85,40 @@
             model: ModelName::from(model),
             priority: self.rng.random_range(0..4),
             until,
-            asking: None,
+            permit_request: None,
             permit: None,
-            look_at: now,
-            seen: 0,
+            next_try_at: now,
+            seen_changes: 0,
             tried: Vec::new(),
         });
     }
 
-    pub(super) fn is_there(&self, req: &Request) -> bool {
+    pub(super) fn has_same_daemon_run(&self, req: &Request) -> bool {
         self.hosts.epoch(req.daemon) == req.epoch
     }
 
-    pub(super) fn look(&mut self) {
+    pub(super) fn try_waiting(&mut self) {
         let now = self.now();
         for mut req in std::mem::take(&mut self.waiting) {
-            if !self.is_there(&req) {
+            if !self.has_same_daemon_run(&req) {
                 continue;
             }
             let node = &self.network.nodes[req.daemon];
-            let seen = node.state.targets_changed.count();
-            let is_idle = now < req.look_at && seen == req.seen;
+            let seen_changes = node.state.targets_changed.count();
+            let is_idle = now < req.next_try_at && seen_changes == req.seen_changes;
             if is_idle || !node.runs_at(now) {
                 self.waiting.push(req);
                 continue;
             }
-            (req.seen, req.look_at) = (seen, now + LOOK);
+            (req.seen_changes, req.next_try_at) = (seen_changes, now + SELECTION_INTERVAL);
             if now >= req.until {
                 self.give_up(&mut req, now);
                 continue;
             }
             match self.find_target(&mut req, now) {
                 Found::Target(target) => self.connect(req, target, now),
-                Found::Nothing => self.waiting.push(req),
-                Found::InVain => self.give_up(&mut req, now),
+                Found::NoTarget => self.waiting.push(req),
+                Found::NotInTime => self.give_up(&mut req, now),
             }
         }
     }
@@ -126,41 +126,44 @@
     pub(super) fn find_target(&mut self, req: &mut Request, now: Time) -> Found {
         let state = Arc::clone(&self.network.nodes[req.daemon].state);
         let service = ServiceName::from("s");
-        let want = TargetRequirements {
+        let requirements = TargetRequirements {
             service: &service,
             model: Some(&req.model),
             adapter: None,
             prefix: None,
         };
-        let pick = state.fleet().pick(&want, &req.tried, now, &mut self.rng);
+        let pick = state.fleet().pick(&requirements, &req.tried, now, &mut self.rng);
         let found = match pick {
             Pick::Target(target) => Found::Target(target),
-            Pick::Limited { target, available_at } => match self.turn(req, &target, now) {
-                Progress::Granted(permit) => {
-                    req.permit = Some(permit);
-                    state.fleet().begin_request(&target.name, Some(&req.model), now);
-                    Found::Target(target)
+            Pick::Limited { target, available_at } => {
+                match self.request_permit(req, &target, now) {
+                    Progress::Granted(permit) => {
+                        req.permit = Some(permit);
+                        state.fleet().begin_request(&target.name, Some(&req.model), now);
+                        Found::Target(target)
+                    }
+                    Progress::Waiting { expected: Some(at) }
+                        if at > req.until && available_at.is_none_or(|at| at > req.until) =>
+                    {
+                        Found::NotInTime
+                    }
+                    Progress::Waiting { .. } | Progress::SendDue => return Found::NoTarget,
                 }
-                Progress::Waiting { expected: Some(at) }
-                    if at > req.until && available_at.is_none_or(|at| at > req.until) =>
-                {
-                    Found::InVain
-                }
-                Progress::Waiting { .. } | Progress::SendDue => return Found::Nothing,
-            },
-            _ => Found::Nothing,
+            }
+            _ => Found::NoTarget,
         };
-        self.end_asking(req);
+        self.end_permit_request(req);
         found
     }
 
-    pub(super) fn turn(&self, req: &mut Request, target: &Target, now: Time) -> Progress {
+    pub(super) fn request_permit(&self, req: &mut Request, target: &Target, now: Time) -> Progress {
         let node = &self.network.nodes[req.daemon];
         let run = RunKey::of(target);
-        if req.asking.is_some_and(|(_, of)| of != run) {
-            self.end_asking(req);
+        if req.permit_request.is_some_and(|(_, of)| of != run) {
+            self.end_permit_request(req);
         }
-        let (number, _) = *req.asking.get_or_insert_with(|| (node.state.permits().begin(run), run));
+        let (number, _) =
+            *req.permit_request.get_or_insert_with(|| (node.state.permits().begin(run), run));
         let progress = node.state.permits().progress(number, now);
         if progress == Progress::SendDue {
             let (priority, left) = (req.priority, req.until.since(now));
@@ -169,114 +172,118 @@
         node.state.permits().progress(number, now)
     }
 
-    pub(super) fn end_asking(&self, req: &mut Request) {
-        let Some((number, run)) = req.asking.take() else { return };
+    pub(super) fn end_permit_request(&self, req: &mut Request) {
+        let Some((number, run)) = req.permit_request.take() else { return };
         let node = &self.network.nodes[req.daemon];
-        let is_unanswered = node.state.permits().end(number);
-        if is_unanswered {
+        let is_pending = node.state.permits().end(number);
+        if is_pending {
             node.peer_node.cancel(number, run);
         }
     }
 
     pub(super) fn give_up(&mut self, req: &mut Request, now: Time) {
-        self.end_asking(req);
+        self.end_permit_request(req);
         let fleet = self.network.nodes[req.daemon].state.fleet();
         let is_listed = |entry: &Target| {
             fleet.target(&entry.name).is_some_and(|t| t.started_at == entry.started_at)
         };
-        let is_sound =
-            |a: &&Actor| a.is_sound(now) && a.entry.holds(&req.model, None) && is_listed(&a.entry);
-        let sound = self.actors.iter().find(is_sound);
-        let is_stable = now.since(self.store_until) >= CONTACT;
+        let is_candidate = |a: &&TargetRun| {
+            a.is_unrestricted(now) && a.entry.holds(&req.model, None) && is_listed(&a.entry)
+        };
+        let candidate = self.target_runs.iter().find(is_candidate);
+        let is_stable = now.since(self.store_unavailable_until) >= MIN_UNDISTURBED;
         if is_stable
-            && self.hosts.is_sound(req.daemon, CONTACT, now)
-            && let Some(sound) = sound
+            && self.hosts.is_undisturbed(req.daemon, MIN_UNDISTURBED, now)
+            && let Some(candidate) = candidate
         {
-            let (n, name) = (req.daemon, &sound.entry.name);
-            self.result.broken.push(format!("d{n} rejects a request though {name} is sound"));
+            let (n, name) = (req.daemon, &candidate.entry.name);
+            self.result
+                .broken
+                .push(format!("d{n} rejects a request though {name} is unrestricted"));
         }
     }
 
     pub(super) fn connect(&mut self, req: Request, target: Arc<Target>, now: Time) {
-        let next_at = now + self.span(1..40);
-        self.flights.push(Flight { req, target, began: now, stage: Stage::Connects, next_at });
+        let next_at = now + self.random_duration(1..40);
+        self.flights.push(Flight { req, target, began: now, stage: Stage::Connecting, next_at });
     }
 
-    pub(super) fn fly(&mut self) {
+    pub(super) fn advance_flights(&mut self) {
         let now = self.now();
         for flight in std::mem::take(&mut self.flights) {
             if now < flight.next_at {
                 self.flights.push(flight);
-            } else if self.is_there(&flight.req) {
-                self.go_on(flight, now);
+            } else if self.has_same_daemon_run(&flight.req) {
+                self.advance(flight, now);
             }
         }
     }
 
-    pub(super) fn go_on(&mut self, mut flight: Flight, now: Time) {
+    pub(super) fn advance(&mut self, mut flight: Flight, now: Time) {
         let node = &self.network.nodes[flight.req.daemon];
         let run = RunKey::of(&flight.target);
         let is_running = node.runs_at(now);
         match flight.stage {
-            Stage::Connects | Stage::Answered(..) if !is_running => self.flights.push(flight),
-            Stage::Connects => {
+            Stage::Connecting | Stage::Responded(..) if !is_running => self.flights.push(flight),
+            Stage::Connecting => {
                 let may_send = node.state.fleet().may_send(run, flight.req.permit, now);
                 if !may_send {
-                    return self.look_again(flight, now);
+                    return self.retry(flight, now);
                 }
-                self.check_told(&flight.req, run, now);
+                self.check_send_allowed(&flight.req, run, now);
                 flight.stage = Stage::Sent;
-                flight.next_at = now + self.span(1..30);
+                flight.next_at = now + self.random_duration(1..30);
                 self.flights.push(flight);
             }
             Stage::Sent => {
-                let is_held = self.hosts.is_sound(flight.req.daemon, CONTACT, now);
-                let actor = self.actors.iter_mut().find(|a| RunKey::of(&a.entry) == run);
-                let Some(actor) = actor else { return self.unreachable(flight, now) };
-                actor.arrivals.push(Arrival { at: now, is_held_to_bounds: is_held });
-                flight.stage = Stage::Writes;
-                flight.next_at = now + self.span(1..150);
+                let is_undisturbed =
+                    self.hosts.is_undisturbed(flight.req.daemon, MIN_UNDISTURBED, now);
+                let target_run = self.target_runs.iter_mut().find(|a| RunKey::of(&a.entry) == run);
+                let Some(target_run) = target_run else { return self.unreachable(flight, now) };
+                target_run.arrivals.push(Arrival { at: now, must_meet_bounds: is_undisturbed });
+                flight.stage = Stage::Responding;
+                flight.next_at = now + self.random_duration(1..150);
                 self.flights.push(flight);
             }
-            Stage::Writes => {
-                let actor = self.actors.iter().find(|a| RunKey::of(&a.entry) == run);
-                let Some(actor) = actor else { return self.unreachable(flight, now) };
-                let mut signals = actor.signals();
+            Stage::Responding => {
+                let target_run = self.target_runs.iter().find(|a| RunKey::of(&a.entry) == run);
+                let Some(target_run) = target_run else { return self.unreachable(flight, now) };
+                let mut signals = target_run.signals();
                 let mut outcome = Outcome::Ran;
-                if now < actor.rests_until {
-                    signals.retry_delay = SignalField::Value(actor.rests_until.since(now));
+                if now < target_run.rejects_until {
+                    signals.retry_delay = SignalField::Value(target_run.rejects_until.since(now));
                     outcome = Outcome::NotRun;
                 }
-                if self.rng.random_bool(self.troubles.garbled) {
+                if self.rng.random_bool(self.faults.garbled) {
                     signals.limit = SignalField::Malformed;
                 }
-                if self.rng.random_bool(self.troubles.garbled) {
+                if self.rng.random_bool(self.faults.garbled) {
                     signals.leaving = SignalField::Malformed;
                 }
-                flight.stage = Stage::Answered(signals, outcome, now);
-                flight.next_at = now + self.span(1..150);
+                flight.stage = Stage::Responded(signals, outcome, now);
+                flight.next_at = now + self.random_duration(1..150);
                 self.flights.push(flight);
             }
-            Stage::Answered(signals, outcome, written) => {
-                self.hear(&flight, &signals, outcome, written, now);
+            Stage::Responded(signals, outcome, written) => {
+                self.receive_response(&flight, &signals, outcome, written, now);
                 if outcome == Outcome::NotRun {
-                    self.waiting.push(Request { permit: None, look_at: now, ..flight.req });
+                    self.waiting.push(Request { permit: None, next_try_at: now, ..flight.req });
                 }
             }
         }
     }
 
-    /// The target is not there any more.
+    /// Handles a target that has gone.
     pub(super) fn unreachable(&mut self, mut flight: Flight, now: Time) {
         let state = &self.network.nodes[flight.req.daemon].state;
         state.fleet().record_unreachable(&flight.target.name, now);
         flight.req.tried.push(flight.target.name.clone());
-        self.look_again(flight, now);
+        self.retry(flight, now);
     }
 
-    pub(super) fn look_again(&mut self, flight: Flight, now: Time) {
+    pub(super) fn retry(&mut self, flight: Flight, now: Time) {
         let Flight { req, target, .. } = flight;
         self.network.nodes[req.daemon].state.fleet().end_request(&target.name, Some(&req.model));
-        self.waiting.push(Request { permit: None, look_at: now, ..req });
+        self.waiting.push(Request { permit: None, next_try_at: now, ..req });
     }
 }
--- a/crates/tansyknot-fleet/tests/support/table.rs
+++ b/crates/tansyknot-fleet/tests/support/table.rs
@@ -1,4 +1,5 @@
-//! A store whose answers are as of the moment at which it is asked.
+//! An in-memory store that all simulated daemons share; a call returns the state at the time of the
+//! call.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,12 +25,12 @@
     changes: Vec<(u64, TargetChange)>,
     version: u64,
     calls: HashMap<&'static str, u64>,
-    /// The operators' configuration, and the version of the store that it was written with.
+    /// The operators' configuration, and the version of the store at which it was written.
     config: Option<(Catalog, u64)>,
 }
 
 impl Rows {
-    fn own(&mut self, name: RowName) -> &mut Option<StoreRow> {
+    fn row_mut(&mut self, name: RowName) -> &mut Option<StoreRow> {
         match name {
             RowName::Planner => &mut self.planner,
             RowName::Poison => &mut self.poison,
@@ -45,16 +46,16 @@
 
 impl Table {
     pub(crate) fn rows(&self) -> MutexGuard<'_, Rows> {
-        self.rows.lock().expect("no test panics with it")
+        self.rows.lock().expect("the lock is not poisoned")
     }
 
-    fn counted(&self, what: &'static str) -> MutexGuard<'_, Rows> {
+    fn record_call(&self, kind: &'static str) -> MutexGuard<'_, Rows> {
         let mut rows = self.rows();
-        *rows.calls.entry(what).or_default() += 1;
+        *rows.calls.entry(kind).or_default() += 1;
         rows
     }
 
-    /// Writes an entry.
+    /// Writes an entry with the next version.
     pub(crate) fn put(&self, mut entry: Target) {
         let mut rows = self.rows();
         rows.version += 1;
@@ -64,7 +65,7 @@
         rows.targets.insert(entry.name.clone(), entry);
     }
 
-    /// Drops an entry.
+    /// Removes an entry.
     pub(crate) fn remove(&self, name: &TargetName) {
         let mut rows = self.rows();
         rows.version += 1;
@@ -84,54 +85,54 @@
     }
 
     /// Returns the version of the configuration, 0 if there is none.
-    pub(crate) fn configured(&self) -> u64 {
+    pub(crate) fn config_version(&self) -> u64 {
         self.rows().config.as_ref().map_or(0, |(catalog, _)| catalog.version)
     }
 
-    /// Returns the calls since the last time, by kind.
+    /// Returns the number of calls since the last query, by kind.
     pub(crate) fn take_calls(&self) -> HashMap<&'static str, u64> {
         std::mem::take(&mut self.rows().calls)
     }
 }
 
-/// One daemon's way to the store.
-pub(crate) struct Door {
+/// One daemon's client of the store.
+pub(crate) struct StoreClient {
     pub(crate) table: Table,
-    pub(crate) is_cut: Arc<AtomicBool>,
+    pub(crate) is_disconnected: Arc<AtomicBool>,
 }
 
-impl Door {
-    fn pass(&self, what: &'static str) -> Result<MutexGuard<'_, Rows>> {
-        if self.is_cut.load(Ordering::SeqCst) {
+impl StoreClient {
+    fn call(&self, kind: &'static str) -> Result<MutexGuard<'_, Rows>> {
+        if self.is_disconnected.load(Ordering::SeqCst) {
             return Err(Error::unknown("store", "cut"));
         }
-        Ok(self.table.counted(what))
+        Ok(self.table.record_call(kind))
     }
 }
 
-impl Store for Door {
+impl Store for StoreClient {
     fn targets(&self, _: Duration) -> Result<(Vec<Target>, u64)> {
-        let rows = self.pass("all_targets")?;
+        let rows = self.call("all_targets")?;
         Ok((rows.targets.values().cloned().collect(), rows.version))
     }
 
     fn target_changes(&self, after: u64) -> Result<TargetListUpdate> {
-        let rows = self.pass("target_changes")?;
+        let rows = self.call("target_changes")?;
         let newer = rows.changes.iter().filter(|(version, _)| *version > after);
         let changes = newer.map(|(_, change)| change.clone()).collect();
         Ok(TargetListUpdate::Changes { changes, version: rows.version })
     }
 
     fn catalog(&self, _: Duration) -> Result<(Option<Catalog>, u64)> {
-        let rows = self.pass("all_config")?;
-        let missing = || Error::unknown("store", "no configuration here");
+        let rows = self.call("all_config")?;
+        let missing = || Error::unknown("store", "no configuration is stored");
         let (catalog, _) = rows.config.clone().ok_or_else(missing)?;
         Ok((Some(catalog), rows.version))
     }
 
-    /// A call that waits has its answer at once here.
+    /// Returns at once, also where a call would wait for a change.
     fn catalog_changes(&self, after: u64, _: Duration) -> Result<Option<(Option<Catalog>, u64)>> {
-        let rows = self.pass("config_changes")?;
+        let rows = self.call("config_changes")?;
         let newer = rows.config.as_ref().filter(|(_, version)| *version > after);
         Ok(Some((newer.map(|(catalog, _)| catalog.clone()), rows.version)))
     }
@@ -141,8 +142,8 @@
             RowName::Planner => "read_planner",
             RowName::Poison => "read_poison",
         };
-        let mut rows = self.pass(kind)?;
-        Ok(rows.own(name).clone())
+        let mut rows = self.call(kind)?;
+        Ok(rows.row_mut(name).clone())
     }
 
     fn write_row(&self, name: RowName, expected: u64, value: &[u8]) -> Result<WriteOutcome> {
@@ -150,8 +151,8 @@
             RowName::Planner => "write_planner",
             RowName::Poison => "write_poison",
         };
-        let mut rows = self.pass(kind)?;
-        let row = rows.own(name);
+        let mut rows = self.call(kind)?;
+        let row = rows.row_mut(name);
         if row.as_ref().map_or(0, |row| row.version) != expected {
             return Ok(WriteOutcome::Conflict(row.clone()));
         }
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -1,5 +1,5 @@
-//! Daemons before callers with keys and teams with quotas, under faults drawn from a seed, in virtual
-//! time.
+//! A simulation of daemons whose callers have keys and whose teams have quotas, with faults drawn
+//! from a seed, in virtual time.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -20,67 +20,69 @@
 use super::{hosts::Hosts, network::Network};
 
 const STEP: Duration = Duration::from_millis(5);
-/// A key that was taken away is good nowhere after this.
+/// No daemon may accept a removed key after this long.
 pub(crate) const REVOKE_WITHIN: Duration = Duration::from_secs(5);
 const CONFIG_WITHIN: Duration = Duration::from_secs(3);
-/// Daemons that have been undisturbed for this long are held to bounds in touch.
-const CONTACT: Duration = Duration::from_secs(4);
-/// A calm fleet knows of a key within this.
-const KNOWN_WITHIN: Duration = Duration::from_millis(300);
+/// Daemons that have been undisturbed for this long must meet the bounds.
+const MIN_UNDISTURBED: Duration = Duration::from_secs(4);
+/// Without faults, no daemon may accept a removed key after this long.
+const REVOKE_WITHIN_FAULT_FREE: Duration = Duration::from_millis(300);
 const WINDOW: Duration = Duration::from_secs(8);
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 17_000.0;
-/// Units of a request, on average.
-const COST: f64 = 900.0;
+/// The mean number of units of a request.
+const MEAN_REQUEST_UNITS: f64 = 900.0;
 const TEAMS: usize = 4;
-/// Units a second of the teams: one is large, the last one uses less than a request a second.
+/// Quotas of the teams in units per second: one is large, and the last team sends less than one
+/// request per second to each daemon.
 const RATES: [f64; TEAMS] = [270_000.0, 60_000.0, 16_000.0, 4_200.0];
-/// What teams use of their quotas.
-const USUAL: f64 = 0.55;
+/// The share of its quota that a team uses.
+const USUAL_UTILIZATION: f64 = 0.55;
 
-/// What goes wrong, in times a second and shares.
+/// Faults, as events per second and shares.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// Daemons that start again, freeze, or lose the store or all others.
+    /// Restarts, freezes and store disconnections of single daemons.
     pub(crate) daemons: f64,
-    /// The planner in particular.
+    /// The same faults of the planner.
     pub(crate) planner: f64,
-    /// All daemons that end at once.
+    /// Simultaneous restarts of all daemons.
     pub(crate) herds: f64,
-    /// The store that is away from all, for some seconds.
+    /// Store outages of some seconds for all daemons.
     pub(crate) store: f64,
-    /// Datagrams lost, and how much later they come, in milliseconds.
+    /// The share of datagrams that are lost, and the bound on their random extra delay in
+    /// milliseconds.
     pub(crate) loss: f64,
     pub(crate) jitter: u64,
 }
 
-/// What operators and callers do.
+/// Actions of operators and callers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acts {
-    /// Keys that are taken away or added, a second.
+    /// Keys that are removed or added per second.
     pub(crate) keys: f64,
-    /// Quotas that change, a second: far down, or back up.
+    /// Quota changes per second: down to a tenth, or back up.
     pub(crate) quotas: f64,
-    /// How many times its usual a team sends, and which.
+    /// A team that sends more than its usual load, and the factor.
     pub(crate) hot: Option<(usize, f64)>,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
     pub(crate) broken: Vec<String>,
-    /// Requests with good keys at daemons that are undisturbed, and those refused for their key.
+    /// Requests with valid keys at undisturbed daemons, and those refused for their key.
     pub(crate) keyed: usize,
     pub(crate) key_refused: usize,
-    /// Requests of teams but the hot one at daemons that are undisturbed, and those refused though the
-    /// quota had room.
+    /// Requests within their quota at undisturbed daemons, of all teams but the hot one, and those
+    /// of them that were refused.
     pub(crate) within: usize,
     pub(crate) quota_refused: usize,
-    /// The most that a window had of what it might, as a share.
+    /// The highest use of a window, as a share of its limit.
     pub(crate) fullest: f64,
 }
 
-/// A key, when it came and when it was taken away.
+/// A key, and when it was added and removed.
 struct Key {
     text: String,
     team: usize,
@@ -88,25 +90,25 @@
     removed: Option<Time>,
 }
 
-/// What was let through of a team, and the quota that binds.
+/// The admitted requests of a team, and the quota that applies.
 struct Ledger {
     rate: f64,
-    /// The highest rate that still binds, and until when.
-    eased: (f64, Time),
-    passed: VecDeque<Passed>,
-    /// What a single bucket would have left.
-    ideal: f64,
-    at: Time,
+    /// The highest earlier rate that still applies, and until when.
+    former_rate: (f64, Time),
+    admitted: VecDeque<Admitted>,
+    /// The units left in a single token bucket that serves all daemons.
+    bucket: f64,
+    refilled_at: Time,
 }
 
-/// A request that was let through.
-struct Passed {
+/// An admitted request.
+struct Admitted {
     sent: Time,
     at: Time,
     units: f64,
 }
 
-/// A request that waits for the answer about its quota.
+/// A request that waits for the reply to its quota request.
 struct Waiting {
     daemon: usize,
     epoch: u64,
@@ -114,9 +116,9 @@
     units: f64,
     number: u32,
     arrived: Time,
-    asked: Time,
-    /// Whether this daemon keeps the account, which has just been opened.
-    is_told_later: bool,
+    sent_at: Time,
+    /// Whether its own daemon has the account, which was just opened, and deferred the verdict.
+    is_deferred: bool,
     has_room: bool,
 }
 
@@ -129,7 +131,7 @@
     ledgers: Vec<Ledger>,
     waiting: Vec<Waiting>,
     hosts: Hosts,
-    store_until: Time,
+    store_unavailable_until: Time,
     version: u64,
     outcome: Outcome,
 }
@@ -138,7 +140,7 @@
     pub(crate) fn new(seed: u64, daemons: usize, faults: Faults, acts: Acts) -> Self {
         let mut network = Network::new(0, 4, Duration::from_secs(3));
         network.rng = StdRng::seed_from_u64(seed);
-        network.keeps_for_frozen = true;
+        network.queues_for_frozen = true;
         network.access = AccessOptions {
             view: ViewOptions::of(Some(REVOKE_WITHIN), CONFIG_WITHIN),
             window: WINDOW,
@@ -148,10 +150,10 @@
         let now = network.clock_now();
         let ledger = |rate: &f64| Ledger {
             rate: *rate,
-            eased: (0.0, now),
-            passed: VecDeque::new(),
-            ideal: *rate,
-            at: now,
+            former_rate: (0.0, now),
+            admitted: VecDeque::new(),
+            bucket: *rate,
+            refilled_at: now,
         };
         let mut run = Self {
             network,
@@ -162,7 +164,7 @@
             ledgers: RATES.iter().map(ledger).collect(),
             waiting: Vec::new(),
             hosts: Hosts::new(daemons),
-            store_until: Time::default(),
+            store_unavailable_until: Time::default(),
             version: 1,
             outcome: Outcome::default(),
         };
@@ -175,15 +177,15 @@
         run
     }
 
-    /// Lets `span` pass and returns what came of it.
-    pub(crate) fn run(mut self, span: Duration) -> Outcome {
-        let until = self.now() + span;
+    /// Runs for `duration` and returns the results.
+    pub(crate) fn run(mut self, duration: Duration) -> Outcome {
+        let until = self.now() + duration;
         while self.now() < until {
             self.network.run(STEP);
             self.disturb();
-            self.operate();
-            self.ask();
-            self.go_on();
+            self.apply_operator_actions();
+            self.send_requests();
+            self.process_waiting();
         }
         self.outcome
     }
@@ -192,7 +194,7 @@
         self.network.clock_now()
     }
 
-    fn happens(&mut self, per_s: f64) -> bool {
+    fn occurs(&mut self, per_s: f64) -> bool {
         self.rng.random_bool((per_s * STEP.as_secs_f64()).min(1.0))
     }
 
@@ -201,11 +203,11 @@
         self.keys.push(Key { text, team, added: self.now(), removed: None });
     }
 
-    /// Writes the configuration as it is to be.
+    /// Writes the current configuration.
     fn configure(&mut self) {
         let keys_of = |team: usize| {
-            let held = self.keys.iter().filter(move |k| k.team == team && k.removed.is_none());
-            held.map(|k| KeyDigest::of(&k.text)).collect()
+            let active = self.keys.iter().filter(move |k| k.team == team && k.removed.is_none());
+            active.map(|k| KeyDigest::of(&k.text)).collect()
         };
         let entry = |team: usize| {
             let rate = self.ledgers[team].rate;
@@ -213,36 +215,40 @@
             let (name, quota) = (name(team), Some(quota));
             TeamEntry { team: Team { name, priority: None, quota }, keys: keys_of(team) }
         };
-        let teams = Teams::new((0..TEAMS).map(entry).collect()).expect("the teams are proper");
+        let teams = Teams::new((0..TEAMS).map(entry).collect()).expect("the teams are valid");
         let catalog = Catalog::new(self.version, Vec::new(), Vec::new()).with_teams(Some(teams));
         self.version += 1;
         self.network.table.configure(catalog);
     }
 
-    fn operate(&mut self) {
+    fn apply_operator_actions(&mut self) {
         let now = self.now();
-        if self.happens(self.acts.keys) {
+        if self.occurs(self.acts.keys) {
             let team = self.rng.random_range(0..TEAMS);
-            let held: Vec<usize> =
+            let active: Vec<usize> =
                 (0..self.keys.len()).filter(|n| self.keys[*n].removed.is_none()).collect();
-            if self.rng.random_bool(0.5) && held.len() > 1 {
-                let n = held[self.rng.random_range(0..held.len())];
+            if self.rng.random_bool(0.5) && active.len() > 1 {
+                let n = active[self.rng.random_range(0..active.len())];
                 self.keys[n].removed = Some(now);
             } else {
                 self.add_key(team);
             }
             self.configure();
         }
-        if self.happens(self.acts.quotas) {
+        if self.occurs(self.acts.quotas) {
             let team = self.rng.random_range(0..TEAMS);
             let ledger = &mut self.ledgers[team];
             let is_low = ledger.rate < RATES[team];
             let rate = if is_low { RATES[team] } else { RATES[team] * 0.1 };
-            // A lower one binds a window after all know of it.
-            let eased = ledger.rate.max(if now < ledger.eased.1 { ledger.eased.0 } else { 0.0 });
-            ledger.eased = (eased, now + CONFIG_WITHIN + WINDOW);
+            // A lower rate applies one window after all daemons have received it.
+            let former = ledger.rate.max(if now < ledger.former_rate.1 {
+                ledger.former_rate.0
+            } else {
+                0.0
+            });
+            ledger.former_rate = (former, now + CONFIG_WITHIN + WINDOW);
             ledger.rate = rate;
-            ledger.ideal = ledger.ideal.min(rate);
+            ledger.bucket = ledger.bucket.min(rate);
             self.configure();
         }
     }
@@ -250,38 +256,39 @@
     fn disturb(&mut self) {
         let now = self.now();
         let all = self.hosts.len();
-        if self.happens(self.faults.daemons) {
+        if self.occurs(self.faults.daemons) {
             let n = self.rng.random_range(0..all);
             self.disturb_daemon(n);
         }
-        if self.happens(self.faults.planner)
+        if self.occurs(self.faults.planner)
             && let Some(n) = self.hosts.planner(&self.network)
         {
             self.disturb_daemon(n);
         }
-        if self.happens(self.faults.herds) {
+        if self.occurs(self.faults.herds) {
             self.hosts.restart_all(&mut self.network);
         }
-        if self.happens(self.faults.store) {
-            self.store_until = now + Duration::from_millis(self.rng.random_range(1_000..7_000));
-            (0..all).for_each(|n| self.hosts.disturbed_until(n, self.store_until));
+        if self.occurs(self.faults.store) {
+            self.store_unavailable_until =
+                now + Duration::from_millis(self.rng.random_range(1_000..7_000));
+            (0..all).for_each(|n| self.hosts.extend_disturbance(n, self.store_unavailable_until));
         }
-        self.hosts.cut(self.store_until, &self.network);
+        self.hosts.update_store_access(self.store_unavailable_until, &self.network);
     }
 
     fn disturb_daemon(&mut self, n: usize) {
         self.hosts.disturb(n, 200..9_000, &mut self.network, &mut self.rng);
     }
 
-    fn is_bound(&self, n: usize, now: Time) -> bool {
-        self.hosts.is_sound(n, CONTACT, now)
+    fn must_meet_bounds(&self, n: usize, now: Time) -> bool {
+        self.hosts.is_undisturbed(n, MIN_UNDISTURBED, now)
     }
 
-    /// Has requests arrive at daemons, with keys that hold and with others.
-    fn ask(&mut self) {
+    /// Sends requests to daemons, with valid and removed keys.
+    fn send_requests(&mut self) {
         for (team, rate) in RATES.iter().enumerate() {
             let hot = self.acts.hot.filter(|(hot, _)| *hot == team).map_or(1.0, |(_, x)| x);
-            let per_s = rate * USUAL * hot / COST;
+            let per_s = rate * USUAL_UTILIZATION * hot / MEAN_REQUEST_UNITS;
             let mut due = per_s * STEP.as_secs_f64();
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
@@ -302,56 +309,59 @@
             (0..self.keys.len()).filter(|n| self.keys[*n].team == team).collect();
         let key = of_team[self.rng.random_range(0..of_team.len())];
         if self.is_admitted(daemon, key, now) {
-            self.begin_take(daemon, team, now);
+            self.request_quota_units(daemon, team, now);
         }
     }
 
-    /// Has a daemon judge a key, and checks what it says.
+    /// Makes a daemon identify a key, and checks its decision.
     fn is_admitted(&mut self, daemon: usize, key: usize, now: Time) -> bool {
-        let is_bound = self.is_bound(daemon, now);
+        let must_meet_bounds = self.must_meet_bounds(daemon, now);
         let state = &self.network.nodes[daemon].state;
         let (catalog, view) = state.active_catalog_and_keys();
         let Some(catalog) = catalog else { return false };
         let Some(teams) = &catalog.teams else { return false };
         let Key { text, added, removed, .. } = &self.keys[key];
-        let claim = RequestCredentials { key: Some(text), arrived: now, version: catalog.version };
-        let judged = access::identify(teams, claim, &view, &state.access.view).map(drop);
-        let is_calm = self.is_calm();
+        let credentials =
+            RequestCredentials { key: Some(text), arrived: now, version: catalog.version };
+        let identified = access::identify(teams, credentials, &view, &state.access.view).map(drop);
+        let is_fault_free = self.is_fault_free();
         let broken = &mut self.outcome.broken;
         if let Some(removed) = removed {
             let since = now.since(*removed);
-            if judged.is_ok() && since > REVOKE_WITHIN {
-                broken.push(format!("{text} ran {since:?} after it was taken away"));
+            if identified.is_ok() && since > REVOKE_WITHIN {
+                broken.push(format!("{text} was accepted {since:?} after its removal"));
             }
-            if judged.is_ok() && is_calm && since > KNOWN_WITHIN {
-                broken.push(format!("{text} ran {since:?} after it was taken away, calm"));
+            if identified.is_ok() && is_fault_free && since > REVOKE_WITHIN_FAULT_FREE {
+                broken.push(format!(
+                    "{text} was accepted {since:?} after its removal, without faults"
+                ));
             }
-            return judged.is_ok();
+            return identified.is_ok();
         }
         let is_old = now.since(*added) > CONFIG_WITHIN;
-        if is_bound && is_old {
+        if must_meet_bounds && is_old {
             self.outcome.keyed += 1;
-            self.outcome.key_refused += usize::from(judged.is_err());
-            if judged == Err(Denied::UnknownKey) {
+            self.outcome.key_refused += usize::from(identified.is_err());
+            if identified == Err(Denied::UnknownKey) {
                 broken.push(format!("{text} is refused as unknown"));
             }
         }
-        judged.is_ok()
+        identified.is_ok()
     }
 
-    fn is_calm(&self) -> bool {
+    fn is_fault_free(&self) -> bool {
         let Faults { daemons, planner, herds, store, loss, .. } = self.faults;
         daemons + planner + herds + store + loss == 0.0
     }
 
-    fn begin_take(&mut self, daemon: usize, team: usize, now: Time) {
-        let units = self.rng.random_range(0.3..1.7) * COST;
+    fn request_quota_units(&mut self, daemon: usize, team: usize, now: Time) {
+        let units = self.rng.random_range(0.3..1.7) * MEAN_REQUEST_UNITS;
         let has_room = self.ledgers[team].has_room(units, now);
         let node = &self.network.nodes[daemon];
         let number = node.state.pending().begin(&name(team), units, now);
-        let silent = node.state.pending().unanswered_for(now);
+        let unanswered_for = node.state.pending().unanswered_for(now);
         let draw = self.rng.random();
-        let is_lent = silent >= UNRESPONSIVE_AFTER
+        let is_lent = unanswered_for >= UNRESPONSIVE_AFTER
             && !node.peer_node.is_planner()
             && node.state.pending().take_lent(&name(team), units, draw, now);
         let verdict = match is_lent {
@@ -366,19 +376,19 @@
             units,
             number,
             arrived: now,
-            asked: now,
-            is_told_later: verdict == Some(Verdict::Later),
+            sent_at: now,
+            is_deferred: verdict == Some(Verdict::Later),
             has_room,
         };
         match verdict {
-            _ if is_lent => self.passed(&waiting),
+            _ if is_lent => self.record_admitted(&waiting),
             Some(Verdict::Later) | None => self.waiting.push(waiting),
             Some(verdict) => self.end(&waiting, verdict),
         }
     }
 
-    /// Takes answers in, asks again, and uses what was lent where none comes.
-    fn go_on(&mut self) {
+    /// Handles replies, retries quota requests, and uses lent units where no reply arrives.
+    fn process_waiting(&mut self) {
         let now = self.now();
         for mut w in std::mem::take(&mut self.waiting) {
             if self.hosts.epoch(w.daemon) != w.epoch {
@@ -389,33 +399,34 @@
                 self.waiting.push(w);
                 continue;
             }
-            let answer = node.state.pending().verdict(w.number);
-            if let Some(verdict) = answer.filter(|verdict| *verdict != Verdict::Later) {
+            let reply = node.state.pending().verdict(w.number);
+            if let Some(verdict) = reply.filter(|verdict| *verdict != Verdict::Later) {
                 self.end(&w, verdict);
                 continue;
             }
-            if now.since(w.asked) < REPLY_TIMEOUT {
+            if now.since(w.sent_at) < REPLY_TIMEOUT {
                 self.waiting.push(w);
                 continue;
             }
             let draw = self.rng.random();
-            let is_later = answer.is_some() || w.is_told_later;
-            (w.is_told_later, w.asked) = (false, now);
+            let was_deferred = reply.is_some() || w.is_deferred;
+            (w.is_deferred, w.sent_at) = (false, now);
             node.state.pending().clear_verdict(w.number);
-            if !is_later && node.state.pending().take_lent(&name(w.team), w.units, draw, now) {
+            if !was_deferred && node.state.pending().take_lent(&name(w.team), w.units, draw, now) {
                 node.state.pending().end(w.number);
-                self.passed(&w);
+                self.record_admitted(&w);
                 continue;
             }
-            let silent = node.state.pending().unanswered_for(now);
-            if now.since(w.arrived) >= share::SHARE_LIFETIME || silent >= MAX_PLANNER_OUTAGE {
+            let unanswered_for = node.state.pending().unanswered_for(now);
+            if now.since(w.arrived) >= share::SHARE_LIFETIME || unanswered_for >= MAX_PLANNER_OUTAGE
+            {
                 node.state.pending().end(w.number);
-                self.refused(&w);
+                self.record_refused(&w);
                 continue;
             }
             match node.peer_node.request_quota(w.number, &name(w.team), w.units) {
                 Some(Verdict::Later) => {
-                    w.is_told_later = true;
+                    w.is_deferred = true;
                     self.waiting.push(w);
                 }
                 Some(verdict) => self.end(&w, verdict),
@@ -433,73 +444,73 @@
             Verdict::Granted => {
                 pending.deduct_granted(&name(w.team), w.units, now);
                 drop(pending);
-                // Some are not run, for want of a target, and are given back.
+                // Some requests find no target and do not run; their units are given back.
                 if self.rng.random_bool(0.1) {
                     let node = &self.network.nodes[w.daemon];
                     let (team, taken) = (name(w.team), w.arrived);
                     node.state.pending().give_back(&team, w.units, taken, now);
                 } else {
-                    self.passed(w);
+                    self.record_admitted(w);
                 }
             }
             Verdict::Over { .. } | Verdict::Later => {
                 drop(pending);
-                self.refused(w);
+                self.record_refused(w);
             }
         }
     }
 
     fn count_within(&mut self, w: &Waiting, is_refused: bool) {
         let is_hot = self.acts.hot.is_some_and(|(hot, _)| hot == w.team);
-        if self.is_bound(w.daemon, w.arrived) && w.has_room && !is_hot {
+        if self.must_meet_bounds(w.daemon, w.arrived) && w.has_room && !is_hot {
             self.outcome.within += 1;
             self.outcome.quota_refused += usize::from(is_refused);
         }
     }
 
-    fn refused(&mut self, w: &Waiting) {
+    fn record_refused(&mut self, w: &Waiting) {
         self.count_within(w, true);
     }
 
-    /// Counts a request by when it was sent, and checks the window.
-    fn passed(&mut self, w: &Waiting) {
+    /// Counts an admitted request as of its arrival, and checks the window.
+    fn record_admitted(&mut self, w: &Waiting) {
         self.count_within(w, false);
         let now = self.now();
-        let fullest = self.ledgers[w.team].pass(w.arrived, w.units, now);
+        let fullest = self.ledgers[w.team].admit(w.arrived, w.units, now);
         self.outcome.fullest = self.outcome.fullest.max(fullest);
         if fullest > 1.0 {
-            let what = format!("team {} had {fullest:.2} of what it may", w.team);
+            let what = format!("team {} used {fullest:.2} of what a window allows", w.team);
             self.outcome.broken.push(what);
         }
     }
 }
 
 impl Ledger {
-    /// Tells whether a single bucket would have room, and takes it there.
+    /// Returns whether a single token bucket has enough units, and takes them from it.
     fn has_room(&mut self, units: f64, now: Time) -> bool {
-        let filled = self.ideal + self.rate * now.since(self.at).as_secs_f64();
-        self.ideal = filled.min(self.rate);
-        self.at = now;
-        let has_room = self.ideal >= units;
+        let filled = self.bucket + self.rate * now.since(self.refilled_at).as_secs_f64();
+        self.bucket = filled.min(self.rate);
+        self.refilled_at = now;
+        let has_room = self.bucket >= units;
         if has_room {
-            self.ideal -= units;
+            self.bucket -= units;
         }
         has_room
     }
 
-    /// Counts what was sent at `sent`; returns what the window that ends now has of what it may. What
-    /// counts was both sent and let through within it.
-    fn pass(&mut self, sent: Time, units: f64, now: Time) -> f64 {
-        self.passed.push_back(Passed { sent, at: now, units });
-        while self.passed.front().is_some_and(|p| now.since(p.at) > WINDOW) {
-            self.passed.pop_front();
+    /// Counts a request sent at `sent`; returns the use of the window that ends now, as a share of
+    /// its limit. The window counts requests that were both sent and admitted within it.
+    fn admit(&mut self, sent: Time, units: f64, now: Time) -> f64 {
+        self.admitted.push_back(Admitted { sent, at: now, units });
+        while self.admitted.front().is_some_and(|p| now.since(p.at) > WINDOW) {
+            self.admitted.pop_front();
         }
-        let within = self.passed.iter().filter(|p| now.since(p.sent) <= WINDOW);
+        let within = self.admitted.iter().filter(|p| now.since(p.sent) <= WINDOW);
         let sum: f64 = within.map(|p| p.units).sum();
-        let (eased, until) = self.eased;
-        let rate = if now < until { self.rate.max(eased) } else { self.rate };
-        let may = (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVERSHOOT) + SLACK;
-        sum / may
+        let (former, until) = self.former_rate;
+        let rate = if now < until { self.rate.max(former) } else { self.rate };
+        let limit = (rate * WINDOW.as_secs_f64() + rate) * (1.0 + OVERSHOOT) + SLACK;
+        sum / limit
     }
 }
 
