--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -374,8 +374,8 @@
     fn step(&mut self, now: Time, latency: Option<&Latency>, rng: &mut StdRng) {
         if now >= self.lease_step_at {
             let pause = self.keeper.step();
-            // Retry delays without the store are not drawn from the seed; the fixed minimum keeps
-            // runs reproducible.
+            // Retry delays without the store are not drawn from the seed; a fixed minimum replaces
+            // shorter ones.
             self.lease_step_at =
                 now + if self.is_disconnected() { pause.max(LEASE_RETRY_INTERVAL) } else { pause };
         }
