--- a/crates/tansyknot-fleet/examples/access.rs
+++ b/crates/tansyknot-fleet/examples/access.rs
@@ -25,7 +25,8 @@
         let teams = teams(keys);
         let mut view = KeyView::default();
         view.record_in_force(1, Time::from_millis(1));
-        let options = ViewOptions::of(Some(Duration::from_secs(5)), Duration::from_secs(3));
+        let options =
+            ViewOptions::from_bounds(Some(Duration::from_secs(5)), Duration::from_secs(3));
         for (what, line) in [("right", "Bearer key0"), ("wrong", "Bearer nobodys-key-0123456789")] {
             let identify = || {
                 let arrived = Time::from_millis(2);
--- a/crates/tansyknot-fleet/examples/limits.rs
+++ b/crates/tansyknot-fleet/examples/limits.rs
@@ -93,7 +93,7 @@
             let stamp = Stamp { run: 0, us: now.as_micros() };
             let request =
                 QueuedRequest { from, number: r.number, stamp, priority: 0, until: r.until };
-            self.scheduler.ask(RUN, self.rate, request, now);
+            self.scheduler.enqueue(RUN, self.rate, request, now);
         }
         let rate = self.rate;
         self.scheduler
--- a/crates/tansyknot-fleet/src/access/view.rs
+++ b/crates/tansyknot-fleet/src/access/view.rs
@@ -29,7 +29,7 @@
 impl ViewOptions {
     /// Computes the limits: revoked keys must not be accepted after `revoke_within`, if that is
     /// set, and new keys must be accepted after `config_within`.
-    pub fn of(revoke_within: Option<Duration>, config_within: Duration) -> Self {
+    pub fn from_bounds(revoke_within: Option<Duration>, config_within: Duration) -> Self {
         let good_for = |within: Duration| within.saturating_sub(MAX_WATCH_LAG + CLOCK_MARGIN);
         Self {
             accept_known_for: revoke_within.map_or(Duration::MAX, good_for),
@@ -45,7 +45,7 @@
 
 impl Default for ViewOptions {
     fn default() -> Self {
-        Self::of(None, Duration::from_secs(2))
+        Self::from_bounds(None, Duration::from_secs(2))
     }
 }
 
--- a/crates/tansyknot-fleet/src/backpressure.rs
+++ b/crates/tansyknot-fleet/src/backpressure.rs
@@ -121,7 +121,7 @@
     /// The priority of the request; 0 goes first.
     pub priority: u8,
     /// How much longer the request can wait.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Obtains permits for targets that name limits, over all daemons.
--- a/crates/tansyknot-fleet/src/backpressure/registry.rs
+++ b/crates/tansyknot-fleet/src/backpressure/registry.rs
@@ -68,7 +68,7 @@
             return Vec::new();
         }
         let record = self.record(run, at.received);
-        let changes = record.state.hear(signals, outcome, at);
+        let changes = record.state.apply(signals, outcome, at);
         if !changes.is_empty() {
             record.changed = at.received;
             record.changed_here = Some(at.received);
--- a/crates/tansyknot-fleet/src/backpressure/run_state.rs
+++ b/crates/tansyknot-fleet/src/backpressure/run_state.rs
@@ -87,7 +87,7 @@
 
 impl RunState {
     /// Applies the signals of a response; returns what they change.
-    pub fn hear(&mut self, signals: &Signals, outcome: Outcome, at: Interval) -> Vec<Change> {
+    pub fn apply(&mut self, signals: &Signals, outcome: Outcome, at: Interval) -> Vec<Change> {
         let mut changes = Vec::new();
         changes.extend(match (signals.limit, outcome) {
             (SignalField::Value(rate), _) => self.apply_limit(rate, at.into()),
--- a/crates/tansyknot-fleet/src/backpressure/scheduler.rs
+++ b/crates/tansyknot-fleet/src/backpressure/scheduler.rs
@@ -151,7 +151,7 @@
     }
 
     /// Queues a permit request for a run that accepts `rate`.
-    pub fn ask(&mut self, run: RunKey, rate: Rate, ask: QueuedRequest, now: Time) -> Admission {
+    pub fn enqueue(&mut self, run: RunKey, rate: Rate, ask: QueuedRequest, now: Time) -> Admission {
         self.remove_expired(now);
         if self.granted.iter().any(|(_, from, number)| ask.is_of(*from, *number)) {
             return Admission::Granted;
@@ -181,7 +181,7 @@
     }
 
     /// Removes a request that no longer waits.
-    pub fn end(&mut self, run: RunKey, from: SocketAddr, number: u32) {
+    pub fn cancel(&mut self, run: RunKey, from: SocketAddr, number: u32) {
         if let Some(queue) = self.queues.get_mut(&run) {
             queue.waiting.retain(|(ask, _)| !ask.is_of(from, number));
         }
--- a/crates/tansyknot-fleet/src/follow/config.rs
+++ b/crates/tansyknot-fleet/src/follow/config.rs
@@ -54,7 +54,7 @@
     /// caused 275 calls from 294 daemons.
     fn wait(&mut self) -> Duration {
         let max_wait = if self.state.requires_keys() { MAX_WAIT_WITH_KEYS } else { Duration::MAX };
-        let wait = self.state.spans.config_wait.min(max_wait);
+        let wait = self.state.freshness.config_wait.min(max_wait);
         match std::mem::take(&mut self.skips_wait) {
             true => Duration::ZERO,
             false if self.state.fleet().daemon_count() > MAX_FOLLOWERS => wait / 2,
@@ -75,7 +75,7 @@
     fn read_timeout(&self) -> Duration {
         let timeout = self.contact.read_timeout();
         match self.state.catalog() {
-            Some(_) => timeout.max(self.state.spans.config_wait),
+            Some(_) => timeout.max(self.state.freshness.config_wait),
             None => timeout,
         }
     }
--- a/crates/tansyknot-fleet/src/follow/list.rs
+++ b/crates/tansyknot-fleet/src/follow/list.rs
@@ -105,7 +105,7 @@
     /// the store was unavailable. If updates from the planner have kept it known, only this daemon
     /// lost the store.
     fn may_have_expired(&self, now: Time) -> bool {
-        self.known_at().is_none_or(|at| now.since(at) >= self.state.spans.expiry)
+        self.known_at().is_none_or(|at| now.since(at) >= self.state.freshness.expiry)
     }
 
     /// Returns the delay after a failed call.
--- a/crates/tansyknot-fleet/src/peering.rs
+++ b/crates/tansyknot-fleet/src/peering.rs
@@ -269,13 +269,13 @@
         let mut schedule = HeartbeatSchedule::new(self.state.now());
         loop {
             let now = self.state.now();
-            let max_wait = schedule.time_left(now).min(self.left(now));
+            let max_wait = schedule.time_left(now).min(self.publish_delay(now));
             let count = self.state.demand_changed.wait(seen, max_wait);
             let has_changed = count != seen;
             seen = count;
             let now = self.state.now();
             let delay = schedule.overdue_by(now);
-            let is_due = has_changed || self.left(now).is_zero();
+            let is_due = has_changed || self.publish_delay(now).is_zero();
             if let Some(reason) = schedule.step_reason(is_due, now) {
                 if reason == StepReason::Heartbeat {
                     self.stats().heartbeat_delay.add(delay);
@@ -287,7 +287,7 @@
     }
 
     /// Returns how long until waiting changes may be published, or `Duration::MAX` if none wait.
-    pub fn left(&self, now: Time) -> Duration {
+    pub fn publish_delay(&self, now: Time) -> Duration {
         self.published().publish_delay(now)
     }
 
--- a/crates/tansyknot-fleet/src/peering/crashes.rs
+++ b/crates/tansyknot-fleet/src/peering/crashes.rs
@@ -69,19 +69,21 @@
     /// address still accepted connections at the first check.
     pub fn check_suspect_targets(&self) {
         let suspects = self.state.poison().suspect_targets(self.state.now());
-        for SuspectTarget { run, place, is_check_due } in suspects {
-            let status = self.state.fleet().list_status(&place.name, place.address);
+        for SuspectTarget { run, identity, is_check_due } in suspects {
+            let status = self.state.fleet().list_status(&identity.name, identity.address);
             let presence = match status {
                 ListStatus::Draining => {
                     self.state.poison().record_draining(run);
                     continue;
                 }
                 ListStatus::Removed => Presence::Gone,
-                ListStatus::Listed if is_check_due => exchange::probe(place.address, PROBE_TIMEOUT),
+                ListStatus::Listed if is_check_due => {
+                    exchange::probe(identity.address, PROBE_TIMEOUT)
+                }
                 ListStatus::Listed => continue,
             };
             let suspected = self.state.poison().record_check(run, presence, self.state.now());
-            poison::report_crash(self.orders.recorder.as_ref(), &place, suspected);
+            poison::report_crash(self.orders.recorder.as_ref(), &identity, suspected);
         }
     }
 
--- a/crates/tansyknot-fleet/src/peering/permit.rs
+++ b/crates/tansyknot-fleet/src/peering/permit.rs
@@ -119,7 +119,7 @@
         let admission = {
             let mut scheduler = self.scheduler();
             scheduler.begin(self.term(now), now);
-            scheduler.ask(query.summary.run, rate, queued_query, now)
+            scheduler.enqueue(query.summary.run, rate, queued_query, now)
         };
         let verdict = match admission {
             Admission::Granted => PermitVerdict::Granted,
@@ -132,7 +132,7 @@
 
     /// Removes a request that no longer waits for a permit from the queue.
     pub(super) fn handle_permit_cancel(&self, end: PermitCancel, from: SocketAddr) {
-        self.scheduler().end(end.run, from, end.number);
+        self.scheduler().cancel(end.run, from, end.number);
     }
 
     /// Handles the reply to a permit query of this daemon.
@@ -178,12 +178,12 @@
 
 impl Permits for PeerNode {
     fn request(&self, request: PermitRequest) {
-        let PermitRequest { number, run, priority, left } = request;
+        let PermitRequest { number, run, priority, time_left } = request;
         let now = self.state.now();
         let stamp = self.state.permits().record_sent(number, now);
         let summary = self.state.fleet().signal_summary(run, now);
         let Some(summary) = summary else { return };
-        let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
+        let left_ms = u32::try_from(time_left.as_millis()).unwrap_or(u32::MAX);
         let query = PermitQuery { number, stamp, summary, priority, left_ms };
         match self.decider(run, now) {
             Decider::Me => self.handle_permit_query(&query, self.me.address, now),
--- a/crates/tansyknot-fleet/src/peering/quota.rs
+++ b/crates/tansyknot-fleet/src/peering/quota.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the units left in each team's quota account, if this daemon is the planner.
-    pub fn quotas_left(&self) -> Vec<(TeamName, f64)> {
+    pub fn remaining_quotas(&self) -> Vec<(TeamName, f64)> {
         let now = self.state.now();
         if self.lease.is_valid(now) { self.quota_accounts().left(now) } else { Vec::new() }
     }
--- a/crates/tansyknot-fleet/src/poison/crash_check.rs
+++ b/crates/tansyknot-fleet/src/poison/crash_check.rs
@@ -82,7 +82,7 @@
     /// Its run.
     pub run: RunKey,
     /// Its identity.
-    pub place: TargetIdentity,
+    pub identity: TargetIdentity,
     /// Whether it is to be checked again now.
     pub is_check_due: bool,
 }
@@ -215,8 +215,8 @@
         self.expire(now);
         let unchecked = self.open.iter_mut().filter(|(_, check)| !check.is_being_checked);
         let suspect_target = |(run, check): (&RunKey, &mut CrashCheck)| {
-            let place = check.place.clone()?;
-            Some(SuspectTarget { run: *run, place, is_check_due: check.take_recheck(now) })
+            let identity = check.place.clone()?;
+            Some(SuspectTarget { run: *run, identity, is_check_due: check.take_recheck(now) })
         };
         unchecked.filter_map(suspect_target).collect()
     }
--- a/crates/tansyknot-fleet/src/serve/permit.rs
+++ b/crates/tansyknot-fleet/src/serve/permit.rs
@@ -42,9 +42,9 @@
         let OpenPermitRequest { number, .. } = *request.permit_request.get_or_insert_with(begin);
         let progress = self.state.permits().progress(number, now);
         if progress == Progress::SendDue {
-            let left = request.target_deadline().duration_since(BootInstant::now());
+            let time_left = request.target_deadline().duration_since(BootInstant::now());
             let priority = request.identity.priority(&request.route);
-            self.permits.request(PermitRequest { number, run: run_key, priority, left });
+            self.permits.request(PermitRequest { number, run: run_key, priority, time_left });
         }
         let progress = self.state.permits().progress(number, now);
         match progress {
--- a/crates/tansyknot-fleet/src/state.rs
+++ b/crates/tansyknot-fleet/src/state.rs
@@ -129,7 +129,7 @@
     /// Limits for keys and quotas.
     pub access: AccessOptions,
     /// Maximum ages of the views.
-    pub spans: FreshnessLimits,
+    pub freshness: FreshnessLimits,
     started: Time,
 }
 
@@ -141,13 +141,13 @@
     /// Limits for keys and quotas.
     pub access: AccessOptions,
     /// Maximum ages of the views.
-    pub spans: FreshnessLimits,
+    pub freshness: FreshnessLimits,
 }
 
 impl State {
     /// Creates the initial state of a daemon in `zone`, with empty views.
     pub fn new(zone: ZoneName, options: StateOptions, clock: Arc<dyn Clock>) -> Self {
-        let StateOptions { budget, access, spans } = options;
+        let StateOptions { budget, access, freshness } = options;
         let started = clock.now();
         Self {
             clock,
@@ -157,8 +157,8 @@
             quota_reply_received: Notifier::default(),
             permits_changed: Notifier::default(),
             store_call_due: Notifier::default(),
-            fleet: Mutex::new(Fleet::new(zone, spans)),
-            planner_view: Mutex::new(PlannerView::new(spans)),
+            fleet: Mutex::new(Fleet::new(zone, freshness)),
+            planner_view: Mutex::new(PlannerView::new(freshness)),
             peers: Mutex::default(),
             poison: Mutex::new(Poison::new(started)),
             key_view: Mutex::default(),
@@ -170,7 +170,7 @@
             load_waits: Mutex::default(),
             budget_options: budget,
             access,
-            spans,
+            freshness,
             started,
         }
     }
@@ -329,7 +329,7 @@
     pub fn list_poll_interval(&self) -> Duration {
         let interval =
             Duration::from_secs_f64(self.fleet().daemon_count() as f64 / LIST_CALLS_PER_S);
-        interval.clamp(self.spans.list_poll_interval, self.spans.max_list_age)
+        interval.clamp(self.freshness.list_poll_interval, self.freshness.max_list_age)
     }
 
     /// Returns how long the view of the list stays fresh enough without a call to the store.
@@ -347,8 +347,9 @@
         let keys = self.keys_fresh_for();
         let view = self.planner_view();
         let own = own.filter(|_| view.config_version() <= own_version);
-        let own_left = own
-            .map_or(Duration::ZERO, |at| self.spans.max_config_age.saturating_sub(now.since(at)));
+        let own_left = own.map_or(Duration::ZERO, |at| {
+            self.freshness.max_config_age.saturating_sub(now.since(at))
+        });
         view.config_fresh_for(own_version, now).max(own_left).min(keys)
     }
 
--- a/crates/tansyknot-fleet/src/target.rs
+++ b/crates/tansyknot-fleet/src/target.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// The start time of the run that reports, if it reports one.
-    pub born: Option<StartTime>,
+    pub started_at: Option<StartTime>,
     /// Whether it is carrying out an order.
     pub busy: bool,
     /// The number of orders that it has accepted.
--- a/crates/tansyknot-fleet/src/task.rs
+++ b/crates/tansyknot-fleet/src/task.rs
@@ -394,7 +394,7 @@
             log::debug!("target {} did not send a report: {e}", progress.target.name);
             StopReason::Unresponsive
         })?;
-        let is_same = target::may_be_same_run(progress.target.started_at, report.born);
+        let is_same = target::may_be_same_run(progress.target.started_at, report.started_at);
         if is_same { Ok(report) } else { Err(StopReason::Restarted) }
     }
 
--- a/crates/tansyknot-fleet/tests/dissemination.rs
+++ b/crates/tansyknot-fleet/tests/dissemination.rs
@@ -140,7 +140,7 @@
 fn planner_that_lost_the_lease_has_nothing_to_publish() {
     let mut network = started_network(340);
     network.change();
-    network.run(network.planner().expect("there is a planner").state.spans.list_poll_interval);
+    network.run(network.planner().expect("there is a planner").state.freshness.list_poll_interval);
     let planner = network.planner().expect("there is a planner");
     let (peer_node, state) = (Arc::clone(&planner.peer_node), Arc::clone(&planner.state));
     planner.cut(true);
@@ -150,10 +150,10 @@
     let change = TargetChange::Put(Box::new(Target { version: u64::MAX, ..target }));
     state.fleet().apply_change(change, state.now());
     peer_node.step(StepReason::Change);
-    assert!(peer_node.left(state.now()) < SECOND, "the change waits to be published");
+    assert!(peer_node.publish_delay(state.now()) < SECOND, "the change waits to be published");
     network.clock.advance(SECOND * 2);
     peer_node.step(StepReason::Heartbeat);
-    assert_eq!(peer_node.left(state.now()), Duration::MAX);
+    assert_eq!(peer_node.publish_delay(state.now()), Duration::MAX);
 }
 
 #[test]
--- a/crates/tansyknot-fleet/tests/run_state.rs
+++ b/crates/tansyknot-fleet/tests/run_state.rs
@@ -47,7 +47,7 @@
 fn limit_after(responses: &[(Signals, Outcome, Interval)]) -> Option<f64> {
     let mut state = RunState::default();
     for (signals, outcome, at) in responses {
-        state.hear(signals, *outcome, *at);
+        state.apply(signals, *outcome, *at);
     }
     state.limit().map(|limit| limit.rate.per_s())
 }
--- a/crates/tansyknot-fleet/tests/support/calls.rs
+++ b/crates/tansyknot-fleet/tests/support/calls.rs
@@ -105,7 +105,7 @@
                 backoff::exponential(INITIAL_RETRY_DELAY, self.failures - 1, MAX_RETRY_DELAY)
             }
             CallOutcome::Succeeded if self.peer_node.is_planner() => {
-                self.state.spans.list_poll_interval
+                self.state.freshness.list_poll_interval
             }
             CallOutcome::Succeeded => self.state.list_poll_interval(),
         }
--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -138,6 +138,6 @@
     fn report(&self, _: &Target) -> Result<Report> {
         let engine = self.engine();
         let (accepted_orders, models) = (engine.orders, engine.models.clone());
-        Ok(Report { born: engine.born, busy: false, accepted_orders, models })
+        Ok(Report { started_at: engine.born, busy: false, accepted_orders, models })
     }
 }
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -141,7 +141,7 @@
     let options = StateOptions {
         budget,
         access: AccessOptions::default(),
-        spans: FreshnessLimits::default(),
+        freshness: FreshnessLimits::default(),
     };
     Arc::new(State::new(ZoneName::from("z1"), options, Arc::new(clock.clone())))
 }
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -186,7 +186,7 @@
     fn node(&self, n: usize) -> Node {
         let address: SocketAddr = ([10, 0, (n / 250) as u8, (n % 250) as u8], 7000).into();
         let budget = BudgetOptions { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
-        let options = StateOptions { budget, access: self.access, spans: self.spans };
+        let options = StateOptions { budget, access: self.access, freshness: self.spans };
         let zone: tansyknot_core::name::ZoneName = format!("z{}", n % 5).as_str().into();
         let clock: Arc<dyn Clock> = Arc::new(self.clock.clone());
         let state = Arc::new(State::new(zone.clone(), options, clock));
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/flight.rs
@@ -166,8 +166,8 @@
             *req.permit_request.get_or_insert_with(|| (node.state.permits().begin(run), run));
         let progress = node.state.permits().progress(number, now);
         if progress == Progress::SendDue {
-            let (priority, left) = (req.priority, req.until.since(now));
-            node.peer_node.request(PermitRequest { number, run, priority, left });
+            let (priority, time_left) = (req.priority, req.until.since(now));
+            node.peer_node.request(PermitRequest { number, run, priority, time_left });
         }
         node.state.permits().progress(number, now)
     }
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -142,7 +142,7 @@
         network.rng = StdRng::seed_from_u64(seed);
         network.queues_for_frozen = true;
         network.access = AccessOptions {
-            view: ViewOptions::of(Some(REVOKE_WITHIN), CONFIG_WITHIN),
+            view: ViewOptions::from_bounds(Some(REVOKE_WITHIN), CONFIG_WITHIN),
             window: WINDOW,
             overshoot: OVERSHOOT,
             slack: SLACK,
--- a/crates/tansyknot-http/src/server.rs
+++ b/crates/tansyknot-http/src/server.rs
@@ -135,7 +135,7 @@
     }
 
     /// Returns the number of requests being received or processed.
-    pub fn busy(&self) -> u32 {
+    pub fn requests_in_flight(&self) -> u32 {
         self.busy.load(Ordering::SeqCst)
     }
 }
--- a/crates/tansyknotd/src/daemon.rs
+++ b/crates/tansyknotd/src/daemon.rs
@@ -285,7 +285,7 @@
         while self.stopper.signals.load(Ordering::SeqCst) == 0 {
             thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        event::DRAIN_BEGUN.emit(&[("requests", &self.stopper.lifecycle.busy())]);
+        event::DRAIN_BEGUN.emit(&[("requests", &self.stopper.lifecycle.requests_in_flight())]);
         let outcome = self.drain();
         self.stop_loops.set();
         for thread in self.threads {
@@ -315,7 +315,7 @@
         drop(TcpStream::connect(self.callers));
         let timeout = self.settings.drain.timeout.duration();
         loop {
-            let busy = lifecycle.busy();
+            let busy = lifecycle.requests_in_flight();
             if busy == 0 {
                 return DrainOutcome::Complete;
             }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A daemon that serves a fleet of shared targets: its threads, startup and planned stop.
 
-mod calls;
 mod pages;
+mod store_polling;
 
 use std::{
     collections::BTreeMap,
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use tansyknot_adapter::{header::PlatformHeaders, runner::Runners, store::RowStore};
+use tansyknot_adapter::{header::PlatformHeaders, runner::RunnerClient, store::StoreClient};
 use tansyknot_config::{fleet::FleetSettings, unit::PositiveDuration};
 use tansyknot_core::{
     clock::{BootInstant, Clock, SystemClock},
@@ -36,7 +36,7 @@
 };
 use tansyknot_http::server::{self, DrainBehaviour, Handler, Lifecycle, ServerOptions};
 
-use crate::page::PageRecorder;
+use crate::metrics_page::PageRecorder;
 use pages::{MetricsPage, ReadyPage};
 
 /// How often a stop checks whether requests are in flight.
@@ -68,11 +68,11 @@
             slack: settings.bounds.retry_slack,
             window: settings.bounds.retry_window.duration(),
         };
-        let spans = freshness_limits(settings);
-        let options = StateOptions { budget, access: access_options(settings), spans };
+        let freshness = freshness_limits(settings);
+        let options = StateOptions { budget, access: access_options(settings), freshness };
         let state = Arc::new(State::new(settings.availability_zone.clone(), options, clock));
         let recorder = Arc::new(PageRecorder::default());
-        let store = Arc::new(RowStore::new(settings.store, spans.config_wait));
+        let store = Arc::new(StoreClient::new(settings.store, freshness.config_wait));
         let store: Arc<dyn Store> =
             Arc::new(InstrumentedStore::new(store, Arc::clone(&recorder) as _));
         let lease = Arc::new(SharedLease::default());
@@ -104,7 +104,7 @@
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
-            targets: Arc::new(Runners),
+            targets: Arc::new(RunnerClient),
             recorder: Arc::clone(&recorder) as _,
             daemon,
             overdue_loads: 0.into(),
@@ -156,10 +156,10 @@
 
         let poison = Arc::new(PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store)));
         let follower = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
-        calls::follow_config(follower, &state, &peer_node, Arc::clone(&poison));
-        calls::run_poison_keeper(poison, &state, &peer_node);
+        store_polling::follow_config(follower, &state, &peer_node, Arc::clone(&poison));
+        store_polling::run_poison_keeper(poison, &state, &peer_node);
         let follower = TargetFollower::new(Arc::clone(&state), store, targets_known);
-        calls::follow_targets(follower, &state, &peer_node);
+        store_polling::follow_targets(follower, &state, &peer_node);
         run_lease_keeper(&keeper);
         start_peer_threads(&peer_node, socket);
         event::STARTED.emit(&[
@@ -177,7 +177,7 @@
     pub fn stop(&self) -> u32 {
         let started_at = BootInstant::now();
         self.lifecycle.drain();
-        event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.busy())]);
+        event::DRAIN_BEGUN.emit(&[("busy", &self.lifecycle.requests_in_flight())]);
         self.keeper.release();
         let plan = ShutdownPlan::for_grace_period(self.grace);
         while started_at.elapsed() < plan.abort_after {
@@ -185,12 +185,12 @@
             if refuses {
                 self.lifecycle.end();
             }
-            if refuses && self.lifecycle.busy() == 0 {
+            if refuses && self.lifecycle.requests_in_flight() == 0 {
                 break;
             }
             thread::sleep(STOP_POLL_INTERVAL);
         }
-        let aborted = self.lifecycle.busy();
+        let aborted = self.lifecycle.requests_in_flight();
         event::STOPPED.emit(&[("cut", &aborted)]);
         aborted
     }
@@ -210,7 +210,7 @@
     let revoke_within = bounds.revoke_within.filter(|_| bounds.revoke_fail_closed);
     let revoke_within = revoke_within.map(PositiveDuration::duration);
     AccessOptions {
-        view: ViewOptions::of(revoke_within, bounds.config_within.duration()),
+        view: ViewOptions::from_bounds(revoke_within, bounds.config_within.duration()),
         window: bounds.quota_window.duration(),
         overshoot: bounds.quota_overshoot.get(),
         slack: bounds.quota_slack.get(),
--- a/crates/tansyknotd/src/fleet/pages.rs
+++ b/crates/tansyknotd/src/fleet/pages.rs
@@ -16,7 +16,7 @@
     server::{Handler, Lifecycle, Request},
 };
 
-use crate::page::PageRecorder;
+use crate::metrics_page::PageRecorder;
 
 /// Maximum number of teams whose quota accounts are shown.
 const MAX_TEAMS_SHOWN: usize = 100;
@@ -100,7 +100,8 @@
         for (gauge, value) in gauges {
             self.recorder.gauge(gauge.name, &daemon, value);
         }
-        for (team, remaining) in self.peer_node.quotas_left().into_iter().take(MAX_TEAMS_SHOWN) {
+        for (team, remaining) in self.peer_node.remaining_quotas().into_iter().take(MAX_TEAMS_SHOWN)
+        {
             self.recorder.gauge(
                 metric::QUOTA_LEFT.name,
                 &ServiceName::from(team.as_str()),
--- a/crates/tansyknotd/src/fleet/calls.rs
+++ b/crates/tansyknotd/src/fleet/store_polling.rs
@@ -132,7 +132,7 @@
     let started_at = BootInstant::now();
     let mut seen = state.demand_changed.count();
     loop {
-        let poll_interval = state.spans.list_poll_interval;
+        let poll_interval = state.freshness.list_poll_interval;
         let interval = if peer_node.awaits_load() {
             poll_interval.min(PENDING_LOAD_POLL_INTERVAL)
         } else {
--- a/crates/tansyknotd/src/lib.rs
+++ b/crates/tansyknotd/src/lib.rs
@@ -8,9 +8,9 @@
 pub mod logs;
 #[cfg(feature = "services")]
 pub mod loops;
+pub mod metrics_page;
 #[cfg(feature = "services")]
 pub mod operators;
-pub mod page;
 #[cfg(feature = "services")]
 pub mod replicas;
 #[cfg(feature = "services")]
--- a/crates/tansyknotd/src/operators.rs
+++ b/crates/tansyknotd/src/operators.rs
@@ -96,7 +96,7 @@
             config_version: self.config.version(),
             draining: self.lifecycle.is_draining(),
             connections: self.lifecycle.connections(),
-            requests: self.lifecycle.busy(),
+            requests: self.lifecycle.requests_in_flight(),
             services: services.into_iter().map(|service| self.service_status(service)).collect(),
             targets: self.hosts.all(),
         }
