--- a/crates/tansyknot-fleet/tests/crashes.rs
+++ b/crates/tansyknot-fleet/tests/crashes.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use support::crashes::{Callers, Crashes, Troubles};
+use support::crashes::{Callers, CrashSimulation, Faults};
 use yare::parameterized;
 
 /// Numbers of daemons.
@@ -15,21 +15,13 @@
 const RUN_DURATION: Duration = Duration::from_secs(30);
 const SHORT_RUN_DURATION: Duration = Duration::from_secs(8);
 
-const CALM: Troubles = Troubles {
-    poisons: 1,
-    kills: 0.0,
-    resets: 0.0,
-    daemons: 0.0,
-    herds: 0.0,
-    loss: 0.0,
-    jitter: 1,
-};
-const SEVERAL_POISONS: Troubles = Troubles { poisons: 4, resets: 1.0, kills: 0.2, ..CALM };
-const DATAGRAM_LOSS: Troubles = Troubles { loss: 0.3, jitter: 120, ..SEVERAL_POISONS };
-const DAEMON_FAILURES: Troubles =
-    Troubles { daemons: 0.6, loss: 0.1, jitter: 60, ..SEVERAL_POISONS };
-const FLEET_RESTARTS: Troubles = Troubles { herds: 0.1, ..DAEMON_FAILURES };
-const TARGET_KILLS: Troubles = Troubles { poisons: 0, kills: 3.0, resets: 2.0, ..CALM };
+const CALM: Faults =
+    Faults { poisons: 1, kills: 0.0, resets: 0.0, daemons: 0.0, herds: 0.0, loss: 0.0, jitter: 1 };
+const SEVERAL_POISONS: Faults = Faults { poisons: 4, resets: 1.0, kills: 0.2, ..CALM };
+const DATAGRAM_LOSS: Faults = Faults { loss: 0.3, jitter: 120, ..SEVERAL_POISONS };
+const DAEMON_FAILURES: Faults = Faults { daemons: 0.6, loss: 0.1, jitter: 60, ..SEVERAL_POISONS };
+const FLEET_RESTARTS: Faults = Faults { herds: 0.1, ..DAEMON_FAILURES };
+const TARGET_KILLS: Faults = Faults { poisons: 0, kills: 3.0, resets: 2.0, ..CALM };
 
 /// Callers whose innocent requests all differ.
 const DISTINCT_REQUESTS: Callers =
@@ -40,14 +32,14 @@
 fn check_seeds(
     default_count: u64,
     daemons: usize,
-    troubles: Troubles,
+    faults: Faults,
     callers: Callers,
     duration: Duration,
 ) {
     let mut broken = Vec::new();
     let (mut innocent, mut rejected, mut begun_after) = (0, 0, 0);
     for seed in support::seeds("CRASHES_SEEDS", default_count) {
-        let outcome = Crashes::new(seed, daemons, troubles, callers.clone()).run(duration);
+        let outcome = CrashSimulation::new(seed, daemons, faults, callers.clone()).run(duration);
         broken.extend(outcome.broken.iter().map(|violation| format!("seed {seed}: {violation}")));
         let rejects = (outcome.rejected > 0).then(|| format!("seed {seed}: {}", outcome.rejected));
         broken.extend(rejects.map(|count| format!("{count} innocent requests rejected")));
@@ -72,8 +64,8 @@
     targets_that_are_killed = { SMALL_FLEET, TARGET_KILLS, DISTINCT_REQUESTS },
     targets_that_are_killed_under_polls = { SMALL_FLEET, TARGET_KILLS, POLLS },
 )]
-fn poison_is_stopped_and_others_are_served(daemons: usize, troubles: Troubles, callers: Callers) {
-    check_seeds(6, daemons, troubles, callers, RUN_DURATION);
+fn poison_is_stopped_and_others_are_served(daemons: usize, faults: Faults, callers: Callers) {
+    check_seeds(6, daemons, faults, callers, RUN_DURATION);
 }
 
 #[parameterized(
@@ -82,8 +74,8 @@
     most_calm = { LARGEST_FLEET, CALM },
     most_troubled = { LARGEST_FLEET, DAEMON_FAILURES },
 )]
-fn poison_is_stopped_before_many_daemons(daemons: usize, troubles: Troubles) {
-    check_seeds(1, daemons, troubles, DISTINCT_REQUESTS, SHORT_RUN_DURATION);
+fn poison_is_stopped_before_many_daemons(daemons: usize, faults: Faults) {
+    check_seeds(1, daemons, faults, DISTINCT_REQUESTS, SHORT_RUN_DURATION);
 }
 
 // All daemons end every ten seconds and lose their records of recently answered requests. Then four
@@ -91,6 +83,6 @@
 // targets. Some of these are convicted, and rejected for seconds until a trial clears them.
 #[test]
 fn polls_are_served_after_all_daemons_have_ended() {
-    let outcome = Crashes::new(29, SMALL_FLEET, FLEET_RESTARTS, POLLS).run(RUN_DURATION);
+    let outcome = CrashSimulation::new(29, SMALL_FLEET, FLEET_RESTARTS, POLLS).run(RUN_DURATION);
     assert_eq!(outcome.rejected, 0, "innocent requests rejected, of {}", outcome.innocent);
 }
--- a/crates/tansyknot-fleet/tests/follow.rs
+++ b/crates/tansyknot-fleet/tests/follow.rs
@@ -9,7 +9,7 @@
 
 use support::{
     state,
-    store::{Door, FakeStore, StoreFault},
+    store::{FakeStore, StoreClient, StoreFault},
     target,
 };
 use tansyknot_core::{
@@ -33,7 +33,7 @@
 /// A follower of the list, with its store, clock and state.
 struct Rig {
     store: FakeStore,
-    door: Door,
+    door: StoreClient,
     clock: ManualClock,
     state: Arc<State>,
     follower: TargetFollower,
--- a/crates/tansyknot-fleet/tests/leaving.rs
+++ b/crates/tansyknot-fleet/tests/leaving.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use support::simulation::{Simulation, Troubles};
+use support::leaving::{Faults, Simulation};
 use yare::parameterized;
 
 /// Bounds after which leaving targets get no new requests: the usual one, that of large deployments,
@@ -19,33 +19,33 @@
 const LARGE_FLEET: usize = 25;
 const RUN_DURATION: Duration = Duration::from_secs(40);
 
-const CALM: Troubles =
-    Troubles { daemons: 0.0, herds: 0.0, outages: 0.0, loss: 0.0, jitter: 1, answer_ms: 10 };
-const SLOW_RESPONSES: Troubles = Troubles { daemons: 0.6, herds: 0.1, answer_ms: 500, ..CALM };
-const DATAGRAM_LOSS: Troubles =
-    Troubles { daemons: 0.6, loss: 0.3, jitter: 120, answer_ms: 60, ..CALM };
-const OUTAGES: Troubles = Troubles { daemons: 0.2, outages: 0.08, answer_ms: 60, ..CALM };
-const ALL_TROUBLES: Troubles =
-    Troubles { daemons: 0.5, herds: 0.05, outages: 0.05, loss: 0.2, jitter: 60, answer_ms: 400 };
+const CALM: Faults =
+    Faults { daemons: 0.0, herds: 0.0, outages: 0.0, loss: 0.0, jitter: 1, answer_ms: 10 };
+const SLOW_RESPONSES: Faults = Faults { daemons: 0.6, herds: 0.1, answer_ms: 500, ..CALM };
+const DATAGRAM_LOSS: Faults =
+    Faults { daemons: 0.6, loss: 0.3, jitter: 120, answer_ms: 60, ..CALM };
+const OUTAGES: Faults = Faults { daemons: 0.2, outages: 0.08, answer_ms: 60, ..CALM };
+const ALL_FAULTS: Faults =
+    Faults { daemons: 0.5, herds: 0.05, outages: 0.05, loss: 0.2, jitter: 60, answer_ms: 400 };
 
 #[parameterized(
     calm = { SMALL_FLEET, LEAVE_WITHIN, CALM },
     slow_responses = { SMALL_FLEET, LEAVE_WITHIN, SLOW_RESPONSES },
     losses = { SMALL_FLEET, LEAVE_WITHIN, DATAGRAM_LOSS },
     outages = { SMALL_FLEET, LEAVE_WITHIN, OUTAGES },
-    all = { SMALL_FLEET, LEAVE_WITHIN, ALL_TROUBLES },
-    all_with_a_short_bound = { SMALL_FLEET, LEAVE_WITHIN_SHORT, ALL_TROUBLES },
-    all_with_a_long_bound = { SMALL_FLEET, LEAVE_WITHIN_LARGE, ALL_TROUBLES },
-    all_with_relays = { LARGE_FLEET, LEAVE_WITHIN, ALL_TROUBLES },
+    all = { SMALL_FLEET, LEAVE_WITHIN, ALL_FAULTS },
+    all_with_a_short_bound = { SMALL_FLEET, LEAVE_WITHIN_SHORT, ALL_FAULTS },
+    all_with_a_long_bound = { SMALL_FLEET, LEAVE_WITHIN_LARGE, ALL_FAULTS },
+    all_with_relays = { LARGE_FLEET, LEAVE_WITHIN, ALL_FAULTS },
 )]
 fn targets_that_left_get_nothing_and_those_that_stay_are_known(
     daemons: usize,
     leave_within: Duration,
-    troubles: Troubles,
+    faults: Faults,
 ) {
     let mut broken = Vec::new();
     for seed in support::seeds("LEAVING_SEEDS", 6) {
-        let result = Simulation::new(seed, daemons, leave_within, troubles).run(RUN_DURATION);
+        let result = Simulation::new(seed, daemons, leave_within, faults).run(RUN_DURATION);
         broken.extend(result.err().map(|e| format!("seed {seed}: {e}")));
     }
     assert!(broken.is_empty(), "{} seeds failed:\n{}", broken.len(), broken.join("\n"));
@@ -56,7 +56,7 @@
 #[parameterized(
     response_overtaken_by_a_full_read = { 95, SLOW_RESPONSES },
 )]
-fn failed_before(seed: u64, troubles: Troubles) {
-    let result = Simulation::new(seed, SMALL_FLEET, LEAVE_WITHIN, troubles).run(RUN_DURATION);
+fn failed_before(seed: u64, faults: Faults) {
+    let result = Simulation::new(seed, SMALL_FLEET, LEAVE_WITHIN, faults).run(RUN_DURATION);
     assert_eq!(result, Ok(()));
 }
--- a/crates/tansyknot-fleet/tests/plan.rs
+++ b/crates/tansyknot-fleet/tests/plan.rs
@@ -6,7 +6,7 @@
 
 use support::{
     catalog, held,
-    planner::{Rig, busy, orders, wants},
+    planner::{PlannerHarness, busy, orders, wants},
     target,
 };
 use tansyknot_core::name::{ModelName, ServiceName, TargetName};
@@ -21,91 +21,100 @@
 
 #[test]
 fn nothing_is_ordered_without_demand() {
-    let mut rig = Rig::new(vec![target("t1", &["m0"], &["m1"])]);
-    assert!(rig.plan().is_empty());
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0"], &["m1"])]);
+    assert!(harness.plan().is_empty());
 }
 
 #[test]
 fn model_is_loaded_where_its_weights_are_nearest() {
     let mut memory = target("t3", &["m0"], &["m5"]);
     memory.in_memory = vec![ModelName::from("m5")];
-    let mut rig =
-        Rig::new(vec![target("t1", &["m0"], &[]), target("t2", &["m0"], &["m5"]), memory]);
-    rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t3 +m5"]);
+    let mut harness = PlannerHarness::new(vec![
+        target("t1", &["m0"], &[]),
+        target("t2", &["m0"], &["m5"]),
+        memory,
+    ]);
+    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t3 +m5"]);
 }
 
 #[test]
 fn least_requested_model_is_evicted() {
-    let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
-    rig.hear(&[wants("m0", None, 0, 1), wants("m1", None, 0, 1), wants("m2", None, 0, 1)], vec![]);
-    rig.hear(
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
+    harness
+        .hear(&[wants("m0", None, 0, 1), wants("m1", None, 0, 1), wants("m2", None, 0, 1)], vec![]);
+    harness.hear(
         &[wants("m0", None, 0, 9), wants("m2", None, 0, 5), wants("m5", None, 2, 2)],
         Vec::new(),
     );
-    assert_eq!(orders(&rig.plan()), ["t1 -m1", "t1 +m5"]);
+    assert_eq!(orders(&harness.plan()), ["t1 -m1", "t1 +m5"]);
 }
 
 #[test]
 fn model_in_use_is_not_evicted() {
-    let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
     let in_flight = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
-    rig.hear(&[wants("m5", None, 1, 1)], in_flight);
-    assert!(rig.plan().is_empty());
+    harness.hear(&[wants("m5", None, 1, 1)], in_flight);
+    assert!(harness.plan().is_empty());
 }
 
 #[test]
 fn loaded_model_is_not_evicted_before_its_first_request() {
-    let mut rig = Rig::new(vec![target("t1", &["m0", "m1"], &["m5", "m6"])]);
-    rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 1), busy("t1", "m1", 1)]);
-    assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
-    rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Done, rig.now);
-    rig.targets[0] = Arc::new(target("t1", &["m0", "m1", "m5"], &["m5", "m6"]));
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1"], &["m5", "m6"])]);
+    harness.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 1), busy("t1", "m1", 1)]);
+    assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
+    harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Done, harness.now);
+    harness.targets[0] = Arc::new(target("t1", &["m0", "m1", "m5"], &["m5", "m6"]));
 
     let others = || vec![busy("t1", "m0", 1), busy("t1", "m1", 1)];
     let demand = [wants("m5", None, 0, 1), wants("m6", None, 1, 1)];
-    rig.hear(&demand, others());
-    assert!(rig.plan().is_empty(), "waiting daemons may not have received the load yet");
+    harness.hear(&demand, others());
+    assert!(harness.plan().is_empty(), "waiting daemons may not have received the load yet");
     let with_its_request = [others(), vec![busy("t1", "m5", 1)]].concat();
-    rig.hear(&demand, with_its_request);
-    assert!(rig.plan().is_empty(), "m5 is in use");
-    rig.hear(&demand, others());
-    assert_eq!(orders(&rig.plan()), ["t1 -m5", "t1 +m6"]);
+    harness.hear(&demand, with_its_request);
+    assert!(harness.plan().is_empty(), "m5 is in use");
+    harness.hear(&demand, others());
+    assert_eq!(orders(&harness.plan()), ["t1 -m5", "t1 +m6"]);
 }
 
 #[test]
 fn briefly_busy_target_is_preferred_to_the_weight_store() {
     let near = target("t1", &["m0", "m1", "m2"], &["m5"]);
-    let mut rig = Rig::new(vec![near, target("t2", &[], &[])]);
+    let mut harness = PlannerHarness::new(vec![near, target("t2", &[], &[])]);
     let in_use = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
-    rig.hear(&[wants("m5", None, 1, 1), wants("m0", None, 0, 1)], in_use);
-    assert!(rig.plan().is_empty(), "a load from the weight store takes six seconds");
-    rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()).last().map(String::as_str), Some("t1 +m5"));
+    harness.hear(&[wants("m5", None, 1, 1), wants("m0", None, 0, 1)], in_use);
+    assert!(harness.plan().is_empty(), "a load from the weight store takes six seconds");
+    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()).last().map(String::as_str), Some("t1 +m5"));
 }
 
 #[test]
 fn target_that_loads_all_the_time_is_not_blocked_by_a_load_from_the_weight_store() {
     // Both targets are free. t1 has loaded two models per second, and a load from the weight store takes
     // 6 s.
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"]), target("t2", &["m0"], &[])]);
+    let mut harness =
+        PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"]), target("t2", &["m0"], &[])]);
     for n in 0..6 {
         let (model, other) = if n % 2 == 0 { ("m5", "m6") } else { ("m6", "m5") };
-        rig.hear(&[wants(model, None, 1, n + 1), wants(other, None, 0, n)], Vec::new());
-        assert_eq!(orders(&rig.plan()), [format!("t1 +{model}")]);
-        rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
-        rig.now = rig.now + std::time::Duration::from_millis(500);
+        harness.hear(&[wants(model, None, 1, n + 1), wants(other, None, 0, n)], Vec::new());
+        assert_eq!(orders(&harness.plan()), [format!("t1 +{model}")]);
+        harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, harness.now);
+        harness.now = harness.now + std::time::Duration::from_millis(500);
     }
-    rig.hear(&[wants("m7", None, 1, 1), wants("m6", None, 0, 6)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t2 +m7"], "t1 comes first in the list and is as free as t2");
+    harness.hear(&[wants("m7", None, 1, 1), wants("m6", None, 0, 6)], Vec::new());
+    assert_eq!(
+        orders(&harness.plan()),
+        ["t2 +m7"],
+        "t1 comes first in the list and is as free as t2"
+    );
 }
 
 #[test]
 fn target_that_soon_finishes_its_load_is_waited_for() {
     let near = target("t1", &[], &["m5", "m6"]);
-    let mut rig = Rig::new(vec![near, target("t2", &[], &[])]);
-    rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m5"], "m6 is not loaded from the weight store");
+    let mut harness = PlannerHarness::new(vec![near, target("t2", &[], &[])]);
+    harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m5"], "m6 is not loaded from the weight store");
 }
 
 #[parameterized(
@@ -113,56 +122,57 @@
     two_small = { 20, &["t1 -m8", "t1 -m9", "t1 +m5"] },
 )]
 fn set_of_models_with_the_least_demand_is_evicted(arrivals_of_large: u32, expected: &[&str]) {
-    let mut rig = Rig::new(vec![target("t1", &["m0", "m1", "m8", "m9"], &["m5"])]);
-    rig.hear(&["m0", "m1", "m8", "m9"].map(|m| wants(m, None, 0, 1)), Vec::new());
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m8", "m9"], &["m5"])]);
+    harness.hear(&["m0", "m1", "m8", "m9"].map(|m| wants(m, None, 0, 1)), Vec::new());
     let large = [wants("m0", None, 0, 30), wants("m1", None, 0, arrivals_of_large)];
     let small = ["m8", "m9"].map(|m| wants(m, None, 0, 5));
-    rig.hear(&[large, small].concat(), Vec::new());
-    rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), expected);
+    harness.hear(&[large, small].concat(), Vec::new());
+    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), expected);
 }
 
 #[test]
 fn requests_that_can_be_on_time_go_before_those_that_are_late() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"])]);
-    rig.hear(&[wants("m5", None, 9, 9)], Vec::new());
+    let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
+    harness.hear(&[wants("m5", None, 9, 9)], Vec::new());
     // The objective is 2.5 s and a load from disk takes 0.8 s.
     for _ in 0..3 {
-        rig.now = rig.now + std::time::Duration::from_millis(800);
-        rig.hear(&[wants("m5", None, 9, 9)], Vec::new());
+        harness.now = harness.now + std::time::Duration::from_millis(800);
+        harness.hear(&[wants("m5", None, 9, 9)], Vec::new());
     }
-    rig.hear(&[wants("m5", None, 9, 9), wants("m6", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m6"]);
+    harness.hear(&[wants("m5", None, 9, 9), wants("m6", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m6"]);
 }
 
 #[test]
 fn late_requests_do_not_delay_a_new_one_for_their_model() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"])]);
+    let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
     for _ in 0..4 {
-        rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 5, 5)], Vec::new());
-        rig.now = rig.now + std::time::Duration::from_millis(800);
+        harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 5, 5)], Vec::new());
+        harness.now = harness.now + std::time::Duration::from_millis(800);
     }
-    rig.hear(&[wants("m5", None, 2, 2), wants("m6", None, 5, 5)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
+    harness.hear(&[wants("m5", None, 2, 2), wants("m6", None, 5, 5)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
 }
 
 #[test]
 fn burst_at_many_daemons_loads_a_model_once() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5"]), target("t2", &[], &["m5"])]);
+    let mut harness =
+        PlannerHarness::new(vec![target("t1", &[], &["m5"]), target("t2", &[], &["m5"])]);
     for daemon in ["a", "b", "c", "d"] {
         let uses = [wants("m5", None, 3, 3)];
-        rig.hear_of(daemon, &uses, Vec::new());
+        harness.hear_of(daemon, &uses, Vec::new());
     }
-    assert_eq!(rig.plan().len(), 1);
-    assert!(rig.plan().is_empty(), "the load is in progress");
+    assert_eq!(harness.plan().len(), 1);
+    assert!(harness.plan().is_empty(), "the load is in progress");
 }
 
 #[test]
 fn engine_is_never_planned_beyond_its_memory() {
-    let mut rig = Rig::new(vec![target("t1", &["m0", "m1"], &["m5", "m6", "m7"])]);
+    let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1"], &["m5", "m6", "m7"])]);
     let uses: Vec<ModelUse> = (2..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
-    rig.hear(&uses, Vec::new());
-    let tasks = rig.plan();
+    harness.hear(&uses, Vec::new());
+    let tasks = harness.plan();
     let engine =
         catalog().engine(&ServiceName::from("s")).cloned().expect("the service has an engine");
     let mut models: BTreeSet<String> = ["m0".to_owned(), "m1".to_owned()].into();
@@ -179,13 +189,14 @@
 
 #[test]
 fn loads_from_the_weight_store_keep_below_its_limit() {
-    let mut rig = Rig::new((0..10).map(|n| target(&format!("t{n}"), &[], &[])).collect());
+    let mut harness =
+        PlannerHarness::new((0..10).map(|n| target(&format!("t{n}"), &[], &[])).collect());
     let uses: Vec<ModelUse> = (0..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
-    rig.hear(&uses, Vec::new());
+    harness.hear(&uses, Vec::new());
     let mut started = 0;
     for _ in 0..10 {
-        for _ in rig.plan() {
-            rig.planner.count_remote_load(rig.now);
+        for _ in harness.plan() {
+            harness.planner.count_remote_load(harness.now);
             started += 1;
         }
     }
@@ -196,73 +207,75 @@
 
 #[test]
 fn queued_load_is_announced_after_the_one_in_progress() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5", "m6"])]);
-    rig.hear(&[wants("m5", None, 2, 2), wants("m6", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m5"]);
-    let due = |rig: &Rig, model: &str| {
-        let pending = rig.planner.pending_loads(rig.now);
+    let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
+    harness.hear(&[wants("m5", None, 2, 2), wants("m6", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
+    let due = |harness: &PlannerHarness, model: &str| {
+        let pending = harness.planner.pending_loads(harness.now);
         pending.iter().find(|c| c.model.as_str() == model).map(|c| c.due_in_ms)
     };
-    let (first, second) = (due(&rig, "m5"), due(&rig, "m6"));
+    let (first, second) = (due(&harness, "m5"), due(&harness, "m6"));
     // A load from disk takes 0.8 s, and each order adds 0.1 s.
     assert_eq!((first, second), (Some(900), Some(1800)));
-    rig.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, rig.now);
-    rig.hear(&[wants("m5", None, 0, 2), wants("m6", None, 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m6"]);
-    assert_eq!(due(&rig, "m6"), Some(900), "no load is in progress before it");
+    harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, harness.now);
+    harness.hear(&[wants("m5", None, 0, 2), wants("m6", None, 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m6"]);
+    assert_eq!(due(&harness, "m6"), Some(900), "no load is in progress before it");
 }
 
 #[test]
 fn draining_and_unreachable_targets_get_no_order() {
     let mut leaving = target("t1", &[], &["m5"]);
     leaving.state = TargetState::Draining;
-    let mut rig = Rig::new(vec![leaving, target("t2", &[], &["m5"])]);
-    rig.hear(&[wants("m5", None, 1, 1)], Vec::new());
-    let opens_at = |name: &TargetName| (name.as_str() != "t2").then_some(rig.now);
-    assert!(rig.planner.plan(&rig.targets, &opens_at, &catalog(), rig.now).is_empty());
+    let mut harness = PlannerHarness::new(vec![leaving, target("t2", &[], &["m5"])]);
+    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    let opens_at = |name: &TargetName| (name.as_str() != "t2").then_some(harness.now);
+    assert!(harness.planner.plan(&harness.targets, &opens_at, &catalog(), harness.now).is_empty());
 }
 
 #[test]
 fn model_on_a_target_in_cooldown_counts_as_loaded() {
-    let mut rig = Rig::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
-    let (now, cooldown_end) = (rig.now, rig.now + std::time::Duration::from_secs(2));
+    let mut harness =
+        PlannerHarness::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
+    let (now, cooldown_end) = (harness.now, harness.now + std::time::Duration::from_secs(2));
     let opens_at = |name: &TargetName| Some(if name.as_str() == "t1" { cooldown_end } else { now });
-    rig.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
-    let tasks = rig.planner.plan(&rig.targets, &opens_at, &catalog(), rig.now);
+    harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
+    let tasks = harness.planner.plan(&harness.targets, &opens_at, &catalog(), harness.now);
     assert_eq!(orders(&tasks), ["t2 +m6"]);
 }
 
 #[test]
 fn adapter_is_loaded_where_its_model_has_fewest_adapters() {
     let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
-    let mut rig = Rig::new(vec![full, target("t2", &["m0"], &[]), target("t3", &["m1"], &[])]);
-    rig.hear(&[wants("m0", None, 0, 1), wants("m0", Some("a3"), 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t2 +m0/a3"]);
+    let mut harness =
+        PlannerHarness::new(vec![full, target("t2", &["m0"], &[]), target("t3", &["m1"], &[])]);
+    harness.hear(&[wants("m0", None, 0, 1), wants("m0", Some("a3"), 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t2 +m0/a3"]);
 }
 
 #[test]
 fn adapter_without_a_slot_replaces_the_least_used_one() {
     let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
-    let mut rig = Rig::new(vec![full]);
-    rig.hear(&[wants("m0", Some("a1"), 0, 1), wants("m0", Some("a2"), 0, 1)], Vec::new());
-    rig.hear(&[wants("m0", Some("a1"), 0, 9), wants("m0", Some("a3"), 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 -m0/a2", "t1 +m0/a3"]);
+    let mut harness = PlannerHarness::new(vec![full]);
+    harness.hear(&[wants("m0", Some("a1"), 0, 1), wants("m0", Some("a2"), 0, 1)], Vec::new());
+    harness.hear(&[wants("m0", Some("a1"), 0, 9), wants("m0", Some("a3"), 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 -m0/a2", "t1 +m0/a3"]);
 }
 
 #[test]
 fn model_is_loaded_for_a_waiting_adapter_request() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m0"])]);
-    rig.hear(&[wants("m0", Some("a1"), 1, 1)], Vec::new());
-    assert_eq!(orders(&rig.plan()), ["t1 +m0"]);
+    let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m0"])]);
+    harness.hear(&[wants("m0", Some("a1"), 1, 1)], Vec::new());
+    assert_eq!(orders(&harness.plan()), ["t1 +m0"]);
 }
 
 #[test]
 fn demand_of_an_unresponsive_daemon_is_dropped() {
-    let mut rig = Rig::new(vec![target("t1", &[], &["m5"])]);
-    rig.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 4)]);
-    rig.now = rig.now + tansyknot_fleet::plan::DAEMON_TIMEOUT;
-    rig.hear_of("other", &[], Vec::new());
-    assert_eq!(rig.planner.daemon_count(), 1);
-    assert!(rig.plan().is_empty());
-    assert!(rig.planner.loads().is_empty());
+    let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5"])]);
+    harness.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 4)]);
+    harness.now = harness.now + tansyknot_fleet::plan::DAEMON_TIMEOUT;
+    harness.hear_of("other", &[], Vec::new());
+    assert_eq!(harness.planner.daemon_count(), 1);
+    assert!(harness.plan().is_empty());
+    assert!(harness.planner.loads().is_empty());
 }
--- a/crates/tansyknot-fleet/tests/signals.rs
+++ b/crates/tansyknot-fleet/tests/signals.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use support::signals::{Simulation, Troubles};
+use support::signals::{Faults, Simulation};
 use yare::parameterized;
 
 /// Number of daemons of a small site.
@@ -18,7 +18,7 @@
 /// Minimum share of a limit that is used while more requests arrive and no fault occurs.
 const MIN_LIMIT_USE: f64 = 0.9;
 
-const CALM: Troubles = Troubles {
+const CALM: Faults = Faults {
     limits: 0.1,
     leaves: 0.0,
     rests: 0.0,
@@ -33,15 +33,15 @@
     loss: 0.0,
     jitter: 10,
 };
-const FREQUENT_LIMITS: Troubles = Troubles { limits: 0.3, ..CALM };
-const ENTRIES: Troubles = Troubles { entries: 1.5, garbled: 0.1, runs: 0.1, ..CALM };
-const LEAVING: Troubles = Troubles { leaves: 0.4, entries: 1.0, garbled: 0.1, ..CALM };
-const RETRY_DELAYS: Troubles = Troubles { rests: 0.4, entries: 1.0, ..CALM };
-const LOSSES: Troubles = Troubles { loss: 0.2, jitter: 120, ..CALM };
-const DAEMONS: Troubles = Troubles { daemons: 0.6, cuts: 0.2, ..CALM };
-const PLANNERS: Troubles = Troubles { planner: 0.2, ..CALM };
-const STORE_OUTAGES: Troubles = Troubles { store: 0.08, ..CALM };
-const ALL: Troubles = Troubles {
+const FREQUENT_LIMITS: Faults = Faults { limits: 0.3, ..CALM };
+const ENTRIES: Faults = Faults { entries: 1.5, garbled: 0.1, runs: 0.1, ..CALM };
+const LEAVING: Faults = Faults { leaves: 0.4, entries: 1.0, garbled: 0.1, ..CALM };
+const RETRY_DELAYS: Faults = Faults { rests: 0.4, entries: 1.0, ..CALM };
+const LOSSES: Faults = Faults { loss: 0.2, jitter: 120, ..CALM };
+const DAEMONS: Faults = Faults { daemons: 0.6, cuts: 0.2, ..CALM };
+const PLANNERS: Faults = Faults { planner: 0.2, ..CALM };
+const STORE_OUTAGES: Faults = Faults { store: 0.08, ..CALM };
+const ALL: Faults = Faults {
     limits: 0.3,
     leaves: 0.2,
     rests: 0.2,
@@ -55,12 +55,12 @@
     ..ENTRIES
 };
 
-fn search(default_seeds: u64, daemons: usize, troubles: Troubles, duration: Duration) -> f64 {
+fn search(default_seeds: u64, daemons: usize, faults: Faults, duration: Duration) -> f64 {
     let mut broken = Vec::new();
     let (mut requests, mut served, mut allowed, mut used) = (0, 0, 0.0, 0);
     let mut fullest: f64 = 0.0;
     for seed in support::seeds("SIGNALS_SEEDS", default_seeds) {
-        let result = Simulation::new(seed, daemons, troubles).run(duration);
+        let result = Simulation::new(seed, daemons, faults).run(duration);
         broken.extend(result.broken.iter().map(|violation| format!("seed {seed}: {violation}")));
         requests += result.requests;
         served += result.served;
@@ -81,8 +81,8 @@
     many_calm = { LARGE_SITE, FREQUENT_LIMITS, SHORT_DURATION },
     most_calm = { LARGEST_SITE, FREQUENT_LIMITS, SHORT_DURATION },
 )]
-fn limits_are_kept_and_used(daemons: usize, troubles: Troubles, duration: Duration) {
-    let used = search(if daemons == SMALL_SITE { 6 } else { 2 }, daemons, troubles, duration);
+fn limits_are_kept_and_used(daemons: usize, faults: Faults, duration: Duration) {
+    let used = search(if daemons == SMALL_SITE { 6 } else { 2 }, daemons, faults, duration);
     assert!(used >= MIN_LIMIT_USE, "{used:.2} of the limits used");
 }
 
@@ -98,8 +98,8 @@
     many_all = { LARGE_SITE, ALL, SHORT_DURATION },
     most_all = { LARGEST_SITE, ALL, SHORT_DURATION },
 )]
-fn words_are_kept_under_faults(daemons: usize, troubles: Troubles, duration: Duration) {
-    search(if daemons == SMALL_SITE { 6 } else { 1 }, daemons, troubles, duration);
+fn words_are_kept_under_faults(daemons: usize, faults: Faults, duration: Duration) {
+    search(if daemons == SMALL_SITE { 6 } else { 1 }, daemons, faults, duration);
 }
 
 // Seeds that found faults. Without a planner, two daemons decided about the permits of one target, each
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -14,7 +14,7 @@
     key::{RequestKey, RunKey},
 };
 
-use super::{hosts::Hosts, network::Network};
+use super::{daemon_faults::DaemonFaults, network::Network};
 
 /// The interval of the simulation; a datagram takes as long.
 const STEP: Duration = Duration::from_millis(5);
@@ -39,7 +39,7 @@
 
 /// The poison requests and other faults, as events per second and shares.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Troubles {
+pub(crate) struct Faults {
     /// The number of different requests under which targets crash; all of them are repeated.
     pub(crate) poisons: u128,
     /// Exits of targets for another reason.
@@ -115,23 +115,23 @@
     next_at: Time,
 }
 
-pub(crate) struct Crashes {
+pub(crate) struct CrashSimulation {
     pub(crate) network: Network,
     rng: StdRng,
-    faults: Troubles,
+    faults: Faults,
     callers: Callers,
     targets: Vec<Target>,
     in_flight: Vec<SentRequest>,
     histories: BTreeMap<RequestKey, PoisonHistory>,
-    hosts: Hosts,
+    daemon_faults: DaemonFaults,
     runs: u64,
     /// Poison requests with a third crash, and when daemons must have received it.
     due: Vec<(Time, RequestKey)>,
     outcome: Outcome,
 }
 
-impl Crashes {
-    pub(crate) fn new(seed: u64, daemons: usize, faults: Troubles, callers: Callers) -> Self {
+impl CrashSimulation {
+    pub(crate) fn new(seed: u64, daemons: usize, faults: Faults, callers: Callers) -> Self {
         let mut network = Network::new(daemons, TARGETS, Duration::from_secs(2));
         network.rng = StdRng::seed_from_u64(seed);
         network.run(Duration::from_secs(6));
@@ -147,7 +147,7 @@
             targets: (0..TARGETS as u64).map(target).collect(),
             in_flight: Vec::new(),
             histories: (0..faults.poisons).map(key).collect(),
-            hosts: Hosts::new(daemons),
+            daemon_faults: DaemonFaults::new(daemons),
             runs: TARGETS as u64,
             due: Vec::new(),
             outcome: Outcome::default(),
@@ -196,15 +196,16 @@
             self.disturb_daemon();
         }
         if self.occurs(self.faults.herds) {
-            self.hosts.restart_all(&mut self.network);
+            self.daemon_faults.restart_all(&mut self.network);
         }
-        self.hosts.update_store_access(Time::default(), &self.network);
+        self.daemon_faults.update_store_access(Time::default(), &self.network);
     }
 
     fn disturb_daemon(&mut self) {
-        let planner = self.hosts.planner(&self.network).filter(|_| self.rng.random_bool(0.5));
-        let n = planner.unwrap_or_else(|| self.rng.random_range(0..self.hosts.len()));
-        self.hosts.disturb(n, 200..4_000, &mut self.network, &mut self.rng);
+        let planner =
+            self.daemon_faults.planner(&self.network).filter(|_| self.rng.random_bool(0.5));
+        let n = planner.unwrap_or_else(|| self.rng.random_range(0..self.daemon_faults.len()));
+        self.daemon_faults.disturb(n, 200..4_000, &mut self.network, &mut self.rng);
     }
 
     /// Ends a target: the connections of its requests close early, and another run replaces it some
@@ -236,7 +237,7 @@
     /// Makes the daemon of a request record that its connection closed early, and retry it.
     fn close_early(&mut self, sent: SentRequest, run: u64, presence: Presence, now: Time) {
         let node = &self.network.nodes[sent.daemon];
-        if self.hosts.epoch(sent.daemon) != sent.epoch {
+        if self.daemon_faults.epoch(sent.daemon) != sent.epoch {
             return;
         }
         {
@@ -277,7 +278,7 @@
             let node = &self.network.nodes[*n];
             node.takes_requests && node.runs_at(now)
         };
-        let taking: Vec<usize> = (0..self.hosts.len()).filter(accepts_requests).collect();
+        let taking: Vec<usize> = (0..self.daemon_faults.len()).filter(accepts_requests).collect();
         let Some(daemon) = taking.into_iter().choose(&mut self.rng) else { return };
         let state = &self.network.nodes[daemon].state;
         let is_convicted = state.poison().is_convicted(key);
@@ -305,10 +306,10 @@
         let duration =
             if is_poison { self.random_duration(10..80) } else { self.random_duration(50..2_000) };
         if let Some(history) = self.histories.get_mut(&key) {
-            let must_meet_bound = self.hosts.is_undisturbed(daemon, MIN_UNDISTURBED, now);
+            let must_meet_bound = self.daemon_faults.is_undisturbed(daemon, MIN_UNDISTURBED, now);
             history.sends.push((now, must_meet_bound));
         }
-        let (epoch, run) = (self.hosts.epoch(daemon), self.targets[target].run);
+        let (epoch, run) = (self.daemon_faults.epoch(daemon), self.targets[target].run);
         let ends_at = now + duration;
         self.in_flight.push(SentRequest {
             daemon,
@@ -338,7 +339,7 @@
                 continue;
             }
             let node = &self.network.nodes[sent.daemon];
-            if self.hosts.epoch(sent.daemon) == sent.epoch && node.runs_at(now) {
+            if self.daemon_faults.epoch(sent.daemon) == sent.epoch && node.runs_at(now) {
                 node.state.poison().answered(sent.key, RunKey(sent.run), sent.opened_at, now);
             }
         }
@@ -356,7 +357,7 @@
 
     /// Returns whether daemons and the messages between them have no faults.
     fn is_fault_free(&self) -> bool {
-        let Troubles { daemons, herds, loss, .. } = self.faults;
+        let Faults { daemons, herds, loss, .. } = self.faults;
         daemons + herds + loss == 0.0
     }
 
--- a/crates/tansyknot-fleet/tests/support/hosts.rs
+++ b/crates/tansyknot-fleet/tests/support/daemon_faults.rs
@@ -8,14 +8,14 @@
 
 use super::network::Network;
 
-pub(crate) struct Hosts {
+pub(crate) struct DaemonFaults {
     /// The number of restarts of each daemon.
     epochs: Vec<u64>,
     disturbed_until: Vec<Time>,
     disconnected_until: Vec<Time>,
 }
 
-impl Hosts {
+impl DaemonFaults {
     pub(crate) fn new(daemons: usize) -> Self {
         Self {
             epochs: vec![0; daemons],
--- a/crates/tansyknot-fleet/tests/support/simulation.rs
+++ b/crates/tansyknot-fleet/tests/support/leaving.rs
@@ -10,7 +10,7 @@
     target::{Target, TargetState},
 };
 
-use super::{calls::Latency, held, network::Network, target};
+use super::{held, list_calls::Latency, network::Network, target};
 
 /// A daemon must meet the bounds once it and the store have been undisturbed for this long.
 const MIN_UNDISTURBED: Duration = Duration::from_secs(3);
@@ -27,7 +27,7 @@
 
 /// The faults of a run, beside targets that join and leave.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Troubles {
+pub(crate) struct Faults {
     /// Restarts, freezes and store disconnections of single daemons per second.
     pub(crate) daemons: f64,
     /// Simultaneous restarts of all daemons per second.
@@ -53,7 +53,7 @@
 pub(crate) struct Simulation {
     network: Network,
     rng: StdRng,
-    faults: Troubles,
+    faults: Faults,
     leave_within: Duration,
     targets_started: usize,
     /// Targets that accept work, and since when the store lists them so.
@@ -77,7 +77,7 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, daemons: usize, leave_within: Duration, faults: Troubles) -> Self {
+    pub(crate) fn new(seed: u64, daemons: usize, leave_within: Duration, faults: Faults) -> Self {
         let network = Network::new(daemons, TARGETS, leave_within);
         let now = network.clock_now();
         let ready = network.table.rows().targets.keys().map(|name| (name.clone(), now)).collect();
@@ -328,7 +328,7 @@
     }
 
     fn change_network(&mut self) {
-        let Troubles { loss, jitter, answer_ms, .. } = self.faults;
+        let Faults { loss, jitter, answer_ms, .. } = self.faults;
         let is_bad = self.rng.random_bool(0.5);
         self.network.loss = if is_bad { loss } else { 0.0 };
         self.network.jitter = if is_bad { jitter } else { 1 };
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -1,16 +1,16 @@
 //! Support of the tests: a store, targets and daemons that run in one thread and in virtual time.
 #![allow(dead_code, reason = "each test file uses only some of the items")]
 
-pub(crate) mod calls;
 pub(crate) mod crashes;
+pub(crate) mod daemon_faults;
 pub(crate) mod engine;
-pub(crate) mod hosts;
+pub(crate) mod leaving;
+pub(crate) mod list_calls;
 pub(crate) mod network;
 pub(crate) mod planner;
+pub(crate) mod shared_store;
 pub(crate) mod signals;
-pub(crate) mod simulation;
 pub(crate) mod store;
-pub(crate) mod table;
 pub(crate) mod teams;
 
 use std::{cell::RefCell, collections::HashMap, ops::Range, sync::Arc, time::Duration};
@@ -30,7 +30,7 @@
     target::{LoadedModel, Target, TargetState},
 };
 
-use store::{Door, FakeStore};
+use store::{FakeStore, StoreClient};
 
 /// The interval at which the lease is handed over, as production deployments set it.
 pub(crate) const TURN: Duration = Duration::from_millis(3000);
@@ -38,7 +38,7 @@
 /// A daemon that takes part in the lease only.
 pub(crate) struct Daemon {
     pub(crate) clock: ManualClock,
-    pub(crate) door: Door,
+    pub(crate) door: StoreClient,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
     pub(crate) keeper: Arc<LeaseKeeper>,
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -34,9 +34,9 @@
 
 use super::{
     TURN,
-    calls::{Latency, ListCalls},
     engine::FakeTarget,
-    table::{StoreClient, Table},
+    list_calls::{Latency, ListCalls},
+    shared_store::{SharedStore, StoreClient},
     target,
 };
 
@@ -100,7 +100,7 @@
     pub(crate) calls: ListCalls,
     poison: PoisonKeeper,
     config: ConfigFollower,
-    table: Table,
+    table: SharedStore,
     config_at: Time,
     /// Whether the daemon has read what it needs before it accepts requests.
     pub(crate) takes_requests: bool,
@@ -116,7 +116,7 @@
 /// All daemons, their store and the network between them.
 pub(crate) struct Network {
     pub(crate) clock: ManualClock,
-    pub(crate) table: Table,
+    pub(crate) table: SharedStore,
     pub(crate) nodes: Vec<Node>,
     /// The share of datagrams that are lost.
     pub(crate) loss: f64,
@@ -146,7 +146,7 @@
     pub(crate) fn new(daemons: usize, targets: usize, leave_within: Duration) -> Self {
         let clock = ManualClock::new();
         clock.advance(Duration::from_secs(100));
-        let table = Table::default();
+        let table = SharedStore::default();
         (0..targets).for_each(|n| table.put(target(&format!("t{n}"), &["m0"], &["m1", "m2"])));
         let traffic = Arc::default();
         let mut network = Self {
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -35,14 +35,14 @@
 }
 
 /// A planner, its targets and the current time.
-pub(crate) struct Rig {
+pub(crate) struct PlannerHarness {
     pub(crate) planner: Planner,
     pub(crate) targets: Vec<Arc<Target>>,
     pub(crate) now: Time,
     pub(crate) seq: u32,
 }
 
-impl Rig {
+impl PlannerHarness {
     pub(crate) fn new(targets: Vec<Target>) -> Self {
         let targets = targets.into_iter().map(Arc::new).collect();
         Self { planner: Planner::default(), targets, now: Time::from_millis(100_000), seq: 0 }
--- a/crates/tansyknot-fleet/tests/support/table.rs
+++ b/crates/tansyknot-fleet/tests/support/shared_store.rs
@@ -40,11 +40,11 @@
 
 /// A store that counts its calls.
 #[derive(Clone, Default)]
-pub(crate) struct Table {
+pub(crate) struct SharedStore {
     rows: Arc<Mutex<Rows>>,
 }
 
-impl Table {
+impl SharedStore {
     pub(crate) fn rows(&self) -> MutexGuard<'_, Rows> {
         self.rows.lock().expect("the lock is not poisoned")
     }
@@ -97,7 +97,7 @@
 
 /// One daemon's client of the store.
 pub(crate) struct StoreClient {
-    pub(crate) table: Table,
+    pub(crate) table: SharedStore,
     pub(crate) is_disconnected: Arc<AtomicBool>,
 }
 
--- a/crates/tansyknot-fleet/tests/support/signals.rs
+++ b/crates/tansyknot-fleet/tests/support/signals.rs
@@ -1,8 +1,8 @@
 //! A simulation of daemons and targets that signal a rate limit, their departure or a retry delay,
 //! with faults drawn from a seed, in virtual time.
 
-mod actor;
-mod flight;
+mod request;
+mod target_run;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,9 +18,9 @@
     target::{StartTime, Target, TargetState},
 };
 
-use super::{hosts::Hosts, network::Network, target};
-use actor::{Arrival, Leaving, LimitPeriod, Receipt, TargetRun};
-use flight::{Flight, Request};
+use super::{daemon_faults::DaemonFaults, network::Network, target};
+use request::{Flight, Request};
+use target_run::{Arrival, Leaving, LimitPeriod, Receipt, TargetRun};
 
 const STEP: Duration = Duration::from_millis(5);
 /// Daemons that have been undisturbed for this long must meet the bounds.
@@ -47,7 +47,7 @@
 
 /// Signals of targets and faults, as events per second and shares.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Troubles {
+pub(crate) struct Faults {
     /// Limits that are set, changed or ended.
     pub(crate) limits: f64,
     /// Targets that leave; the list shows it seconds later or never.
@@ -101,8 +101,8 @@
 pub(crate) struct Simulation {
     network: Network,
     rng: StdRng,
-    faults: Troubles,
-    hosts: Hosts,
+    faults: Faults,
+    daemon_faults: DaemonFaults,
     target_runs: Vec<TargetRun>,
     starts: usize,
     waiting: Vec<Request>,
@@ -118,7 +118,7 @@
 }
 
 impl Simulation {
-    pub(crate) fn new(seed: u64, daemons: usize, faults: Troubles) -> Self {
+    pub(crate) fn new(seed: u64, daemons: usize, faults: Faults) -> Self {
         let mut network = Network::new(daemons, 0, LEAVE_WITHIN);
         network.rng = StdRng::seed_from_u64(seed);
         network.loss = faults.loss;
@@ -127,7 +127,7 @@
             network,
             rng: StdRng::seed_from_u64(seed),
             faults,
-            hosts: Hosts::new(daemons),
+            daemon_faults: DaemonFaults::new(daemons),
             target_runs: Vec::new(),
             starts: 0,
             waiting: Vec::new(),
@@ -291,22 +291,22 @@
 
     fn disturb_daemons(&mut self, now: Time) {
         if self.occurs(self.faults.daemons) {
-            let n = self.rng.random_range(0..self.hosts.len());
-            self.hosts.disturb(n, 300..4000, &mut self.network, &mut self.rng);
+            let n = self.rng.random_range(0..self.daemon_faults.len());
+            self.daemon_faults.disturb(n, 300..4000, &mut self.network, &mut self.rng);
         }
         if self.occurs(self.faults.planner)
-            && let Some(n) = self.hosts.planner(&self.network)
+            && let Some(n) = self.daemon_faults.planner(&self.network)
         {
-            self.hosts.disturb(n, 300..4000, &mut self.network, &mut self.rng);
+            self.daemon_faults.disturb(n, 300..4000, &mut self.network, &mut self.rng);
         }
         if self.occurs(self.faults.cuts) {
-            let n = self.rng.random_range(0..self.hosts.len());
+            let n = self.rng.random_range(0..self.daemon_faults.len());
             let until = now + self.random_duration(500..5000);
             self.isolated_until.insert(n, until);
-            self.hosts.extend_disturbance(n, until);
+            self.daemon_faults.extend_disturbance(n, until);
         }
         if self.occurs(self.faults.herds) {
-            self.hosts.restart_all(&mut self.network);
+            self.daemon_faults.restart_all(&mut self.network);
             let periods =
                 self.target_runs.iter_mut().filter_map(|target_run| target_run.periods.last_mut());
             periods.for_each(|period| period.receipt = None);
@@ -318,7 +318,7 @@
         let isolated: BTreeSet<_> =
             self.isolated_until.keys().map(|n| self.network.nodes[*n].address).collect();
         self.network.isolated = isolated;
-        self.hosts.update_store_access(self.store_unavailable_until, &self.network);
+        self.daemon_faults.update_store_access(self.store_unavailable_until, &self.network);
     }
 
     /// Checks that a daemon sends nothing to a target whose signals it received forbid it.
@@ -381,7 +381,7 @@
         let is_receipt =
             is_newer && signals.limit != SignalField::Malformed && outcome == Outcome::Ran;
         let by = flight.req.daemon;
-        if is_receipt && self.hosts.is_undisturbed(by, MIN_UNDISTURBED, now) {
+        if is_receipt && self.daemon_faults.is_undisturbed(by, MIN_UNDISTURBED, now) {
             let period = target_run.periods.last_mut().expect("a run has a period from its start");
             period.receipt.get_or_insert(Receipt { at: now, by });
         }
@@ -389,10 +389,10 @@
 
     /// Drops what a daemon received right before it was disturbed, as it may not have sent it on.
     fn drop_unshared_receipts(&mut self, now: Time) {
-        let hosts = &self.hosts;
+        let daemon_faults = &self.daemon_faults;
         let is_unshared = |receipt: &mut Receipt| {
             let age = now.since(receipt.at);
-            age < WINDOW_START_DELAY && !hosts.is_undisturbed(receipt.by, age, now)
+            age < WINDOW_START_DELAY && !daemon_faults.is_undisturbed(receipt.by, age, now)
         };
         let periods =
             self.target_runs.iter_mut().filter_map(|target_run| target_run.periods.last_mut());
--- a/crates/tansyknot-fleet/tests/support/signals/flight.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/request.rs
@@ -19,7 +19,7 @@
 
 use super::{
     MIN_UNDISTURBED, Simulation,
-    actor::{Arrival, TargetRun},
+    target_run::{Arrival, TargetRun},
 };
 
 /// The interval at which a waiting request tries to select a target.
@@ -74,14 +74,14 @@
         if !self.occurs(self.requests_per_s) {
             return;
         }
-        let daemon = self.rng.random_range(0..self.hosts.len());
+        let daemon = self.rng.random_range(0..self.daemon_faults.len());
         let model = if self.rng.random_bool(0.5) { "m9" } else { "m0" };
         let now = self.now();
         let until = now + self.random_duration(800..4000);
         self.result.requests += 1;
         self.waiting.push(Request {
             daemon,
-            epoch: self.hosts.epoch(daemon),
+            epoch: self.daemon_faults.epoch(daemon),
             model: ModelName::from(model),
             priority: self.rng.random_range(0..4),
             until,
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn has_same_daemon_run(&self, req: &Request) -> bool {
-        self.hosts.epoch(req.daemon) == req.epoch
+        self.daemon_faults.epoch(req.daemon) == req.epoch
     }
 
     pub(super) fn try_waiting(&mut self) {
@@ -193,7 +193,7 @@
         let candidate = self.target_runs.iter().find(is_candidate);
         let is_stable = now.since(self.store_unavailable_until) >= MIN_UNDISTURBED;
         if is_stable
-            && self.hosts.is_undisturbed(req.daemon, MIN_UNDISTURBED, now)
+            && self.daemon_faults.is_undisturbed(req.daemon, MIN_UNDISTURBED, now)
             && let Some(candidate) = candidate
         {
             let (n, name) = (req.daemon, &candidate.entry.name);
@@ -237,7 +237,7 @@
             }
             Stage::Sent => {
                 let is_undisturbed =
-                    self.hosts.is_undisturbed(flight.req.daemon, MIN_UNDISTURBED, now);
+                    self.daemon_faults.is_undisturbed(flight.req.daemon, MIN_UNDISTURBED, now);
                 let target_run = self.target_runs.iter_mut().find(|a| RunKey::of(&a.entry) == run);
                 let Some(target_run) = target_run else { return self.unreachable(flight, now) };
                 target_run.arrivals.push(Arrival { at: now, must_meet_bounds: is_undisturbed });
--- a/crates/tansyknot-fleet/tests/support/store.rs
+++ b/crates/tansyknot-fleet/tests/support/store.rs
@@ -57,7 +57,7 @@
 
 /// One daemon's client of the store.
 #[derive(Clone, Default)]
-pub(crate) struct Door {
+pub(crate) struct StoreClient {
     store: FakeStore,
     fault: Arc<Mutex<StoreFault>>,
     list_calls: Arc<Mutex<u64>>,
@@ -78,8 +78,8 @@
         Self::default()
     }
 
-    pub(crate) fn door(&self) -> Door {
-        Door { store: self.clone(), ..Door::default() }
+    pub(crate) fn door(&self) -> StoreClient {
+        StoreClient { store: self.clone(), ..StoreClient::default() }
     }
 
     fn row_of(&self, name: RowName) -> &Mutex<Row> {
@@ -107,7 +107,7 @@
     }
 }
 
-impl Door {
+impl StoreClient {
     pub(crate) fn set(&self, fault: StoreFault) {
         *self.fault.lock().expect("the lock is not poisoned") = fault;
     }
@@ -149,7 +149,7 @@
     }
 }
 
-impl Store for Door {
+impl Store for StoreClient {
     fn targets(&self, within: Duration) -> Result<(Vec<Target>, u64)> {
         self.read_within.lock().expect("the lock is not poisoned").push(within);
         *self.list_calls.lock().expect("the lock is not poisoned") += 1;
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -17,7 +17,7 @@
     peering::quota::{MAX_PLANNER_OUTAGE, REPLY_TIMEOUT},
 };
 
-use super::{hosts::Hosts, network::Network};
+use super::{daemon_faults::DaemonFaults, network::Network};
 
 const STEP: Duration = Duration::from_millis(5);
 /// No daemon may accept a removed key after this long.
@@ -58,7 +58,7 @@
 
 /// Actions of operators and callers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Acts {
+pub(crate) struct Actions {
     /// Keys that are removed or added per second.
     pub(crate) keys: f64,
     /// Quota changes per second: down to a tenth, or back up.
@@ -122,22 +122,22 @@
     has_room: bool,
 }
 
-pub(crate) struct TeamRun {
+pub(crate) struct TeamSimulation {
     network: Network,
     rng: StdRng,
     faults: Faults,
-    acts: Acts,
+    actions: Actions,
     keys: Vec<Key>,
     ledgers: Vec<Ledger>,
     waiting: Vec<Waiting>,
-    hosts: Hosts,
+    daemon_faults: DaemonFaults,
     store_unavailable_until: Time,
     version: u64,
     outcome: Outcome,
 }
 
-impl TeamRun {
-    pub(crate) fn new(seed: u64, daemons: usize, faults: Faults, acts: Acts) -> Self {
+impl TeamSimulation {
+    pub(crate) fn new(seed: u64, daemons: usize, faults: Faults, actions: Actions) -> Self {
         let mut network = Network::new(0, 4, Duration::from_secs(3));
         network.rng = StdRng::seed_from_u64(seed);
         network.queues_for_frozen = true;
@@ -159,11 +159,11 @@
             network,
             rng: StdRng::seed_from_u64(seed),
             faults,
-            acts,
+            actions,
             keys: Vec::new(),
             ledgers: RATES.iter().map(ledger).collect(),
             waiting: Vec::new(),
-            hosts: Hosts::new(daemons),
+            daemon_faults: DaemonFaults::new(daemons),
             store_unavailable_until: Time::default(),
             version: 1,
             outcome: Outcome::default(),
@@ -223,7 +223,7 @@
 
     fn apply_operator_actions(&mut self) {
         let now = self.now();
-        if self.occurs(self.acts.keys) {
+        if self.occurs(self.actions.keys) {
             let team = self.rng.random_range(0..TEAMS);
             let active: Vec<usize> =
                 (0..self.keys.len()).filter(|n| self.keys[*n].removed.is_none()).collect();
@@ -235,7 +235,7 @@
             }
             self.configure();
         }
-        if self.occurs(self.acts.quotas) {
+        if self.occurs(self.actions.quotas) {
             let team = self.rng.random_range(0..TEAMS);
             let ledger = &mut self.ledgers[team];
             let is_low = ledger.rate < RATES[team];
@@ -255,39 +255,41 @@
 
     fn disturb(&mut self) {
         let now = self.now();
-        let all = self.hosts.len();
+        let all = self.daemon_faults.len();
         if self.occurs(self.faults.daemons) {
             let n = self.rng.random_range(0..all);
             self.disturb_daemon(n);
         }
         if self.occurs(self.faults.planner)
-            && let Some(n) = self.hosts.planner(&self.network)
+            && let Some(n) = self.daemon_faults.planner(&self.network)
         {
             self.disturb_daemon(n);
         }
         if self.occurs(self.faults.herds) {
-            self.hosts.restart_all(&mut self.network);
+            self.daemon_faults.restart_all(&mut self.network);
         }
         if self.occurs(self.faults.store) {
             self.store_unavailable_until =
                 now + Duration::from_millis(self.rng.random_range(1_000..7_000));
-            (0..all).for_each(|n| self.hosts.extend_disturbance(n, self.store_unavailable_until));
+            (0..all).for_each(|n| {
+                self.daemon_faults.extend_disturbance(n, self.store_unavailable_until);
+            });
         }
-        self.hosts.update_store_access(self.store_unavailable_until, &self.network);
+        self.daemon_faults.update_store_access(self.store_unavailable_until, &self.network);
     }
 
     fn disturb_daemon(&mut self, n: usize) {
-        self.hosts.disturb(n, 200..9_000, &mut self.network, &mut self.rng);
+        self.daemon_faults.disturb(n, 200..9_000, &mut self.network, &mut self.rng);
     }
 
     fn must_meet_bounds(&self, n: usize, now: Time) -> bool {
-        self.hosts.is_undisturbed(n, MIN_UNDISTURBED, now)
+        self.daemon_faults.is_undisturbed(n, MIN_UNDISTURBED, now)
     }
 
     /// Sends requests to daemons, with valid and removed keys.
     fn send_requests(&mut self) {
         for (team, rate) in RATES.iter().enumerate() {
-            let hot = self.acts.hot.filter(|(hot, _)| *hot == team).map_or(1.0, |(_, x)| x);
+            let hot = self.actions.hot.filter(|(hot, _)| *hot == team).map_or(1.0, |(_, x)| x);
             let per_s = rate * USUAL_UTILIZATION * hot / MEAN_REQUEST_UNITS;
             let mut due = per_s * STEP.as_secs_f64();
             while due > 0.0 {
@@ -301,7 +303,7 @@
 
     fn arrive(&mut self, team: usize) {
         let now = self.now();
-        let daemon = self.rng.random_range(0..self.hosts.len());
+        let daemon = self.rng.random_range(0..self.daemon_faults.len());
         if !self.network.nodes[daemon].runs_at(now) {
             return;
         }
@@ -368,7 +370,7 @@
             true => None,
             false => node.peer_node.request_quota(number, &name(team), units),
         };
-        let epoch = self.hosts.epoch(daemon);
+        let epoch = self.daemon_faults.epoch(daemon);
         let waiting = Waiting {
             daemon,
             epoch,
@@ -391,7 +393,7 @@
     fn process_waiting(&mut self) {
         let now = self.now();
         for mut w in std::mem::take(&mut self.waiting) {
-            if self.hosts.epoch(w.daemon) != w.epoch {
+            if self.daemon_faults.epoch(w.daemon) != w.epoch {
                 continue;
             }
             let node = &self.network.nodes[w.daemon];
@@ -461,7 +463,7 @@
     }
 
     fn count_within(&mut self, w: &Waiting, is_refused: bool) {
-        let is_hot = self.acts.hot.is_some_and(|(hot, _)| hot == w.team);
+        let is_hot = self.actions.hot.is_some_and(|(hot, _)| hot == w.team);
         if self.must_meet_bounds(w.daemon, w.arrived) && w.has_room && !is_hot {
             self.outcome.within += 1;
             self.outcome.quota_refused += usize::from(is_refused);
--- a/crates/tansyknot-fleet/tests/teams.rs
+++ b/crates/tansyknot-fleet/tests/teams.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use support::teams::{Acts, Faults, Outcome, TeamRun};
+use support::teams::{Actions, Faults, Outcome, TeamSimulation};
 use yare::parameterized;
 
 const SMALL_SITE: usize = 9;
@@ -21,10 +21,10 @@
 const HERDS: Faults = Faults { herds: 0.08, ..DAEMONS };
 const STORE: Faults = Faults { store: 0.08, ..DAEMONS };
 
-const KEYS: Acts = Acts { keys: 0.5, quotas: 0.0, hot: None };
-const QUOTAS: Acts = Acts { keys: 0.1, quotas: 0.1, hot: None };
-const HOT: Acts = Acts { keys: 0.05, quotas: 0.0, hot: Some((0, 7.5)) };
-const HOT_SMALL: Acts = Acts { hot: Some((3, 7.5)), ..HOT };
+const KEYS: Actions = Actions { keys: 0.5, quotas: 0.0, hot: None };
+const QUOTAS: Actions = Actions { keys: 0.1, quotas: 0.1, hot: None };
+const HOT: Actions = Actions { keys: 0.05, quotas: 0.0, hot: Some((0, 7.5)) };
+const HOT_SMALL: Actions = Actions { hot: Some((3, 7.5)), ..HOT };
 
 /// Maximum share of the requests within their quota that are refused while no fault occurs.
 const MAX_REFUSED_CALM: f64 = 1.0 / 200.0;
@@ -35,12 +35,12 @@
     default_seeds: u64,
     daemons: usize,
     faults: Faults,
-    acts: Acts,
+    actions: Actions,
     duration: Duration,
 ) -> Outcome {
     let mut all = Outcome::default();
     for seed in support::seeds("TEAMS_SEEDS", default_seeds) {
-        let outcome = TeamRun::new(seed, daemons, faults, acts).run(duration);
+        let outcome = TeamSimulation::new(seed, daemons, faults, actions).run(duration);
         all.broken.extend(
             outcome.broken.iter().take(3).map(|violation| format!("seed {seed}: {violation}")),
         );
@@ -75,8 +75,8 @@
     hot_small_planners = { PLANNERS, HOT_SMALL },
     hot_small_herds = { HERDS, HOT_SMALL },
 )]
-fn keys_and_quotas_hold_whatever_happens(faults: Faults, acts: Acts) {
-    search(2, SMALL_SITE, faults, acts, DURATION);
+fn keys_and_quotas_hold_whatever_happens(faults: Faults, actions: Actions) {
+    search(2, SMALL_SITE, faults, actions, DURATION);
 }
 
 #[parameterized(
@@ -92,8 +92,8 @@
     hot = { HOT, MAX_REFUSED_HOT },
     hot_small = { HOT_SMALL, MAX_REFUSED_HOT },
 )]
-fn what_a_quota_has_room_for_is_taken_where_nothing_fails(acts: Acts, max_refused: f64) {
-    let outcome = search(2, LARGE_SITE, CALM, acts, SHORT_DURATION);
+fn what_a_quota_has_room_for_is_taken_where_nothing_fails(actions: Actions, max_refused: f64) {
+    let outcome = search(2, LARGE_SITE, CALM, actions, SHORT_DURATION);
     let share = outcome.quota_refused as f64 / outcome.within as f64;
     assert!(share <= max_refused, "{share:.4} of the requests refused");
     assert_eq!(outcome.key_refused, 0, "good keys refused, of {}", outcome.keyed);
@@ -106,6 +106,6 @@
 // one window admitted 3 % more than its quota.
 #[test]
 fn quota_holds_while_daemons_fail_and_a_team_is_hot() {
-    let outcome = TeamRun::new(8, LARGE_SITE, DAEMONS, HOT).run(SHORT_DURATION);
+    let outcome = TeamSimulation::new(8, LARGE_SITE, DAEMONS, HOT).run(SHORT_DURATION);
     assert!(outcome.fullest <= 1.0, "a window had {:.3} of its quota", outcome.fullest);
 }
