--- a/crates/tansyknot-fleet/tests/backoff.rs
+++ b/crates/tansyknot-fleet/tests/backoff.rs
@@ -49,7 +49,7 @@
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let daemon = Daemon::new("a", &store, &clock);
-    daemon.door.set(StoreFault::Busy);
+    daemon.store.set_fault(StoreFault::Busy);
     let mut calls = 0;
     let mut waited = Duration::ZERO;
     while waited < Duration::from_secs(10) {
@@ -57,22 +57,22 @@
         calls += 1;
     }
     assert!(calls <= 18, "{calls} calls in 10 s");
-    daemon.door.set(StoreFault::None);
-    daemon.keep();
+    daemon.store.set_fault(StoreFault::None);
+    daemon.maintain_lease();
     assert!(daemon.may_order(), "the store is used again with the first call that it answers");
 }
 
 #[test]
 fn first_response_after_an_outage_wakes_the_other_calls() {
     let store = FakeStore::new();
-    let door = store.door();
+    let client = store.client();
     let state = state(&ManualClock::new());
-    let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(door.clone()));
+    let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(client.clone()));
     follower.step();
     assert!(state.store_contacts().returned_at.is_none(), "the store has always responded");
-    door.set(StoreFault::Busy);
+    client.set_fault(StoreFault::Busy);
     follower.step();
-    door.set(StoreFault::None);
+    client.set_fault(StoreFault::None);
     let count_before = state.store_call_due.count();
     follower.step();
     assert!(state.store_contacts().returned_at.is_some());
--- a/crates/tansyknot-fleet/tests/copies.rs
+++ b/crates/tansyknot-fleet/tests/copies.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use support::{
-    planner::{PlannerHarness, busy, orders, wants},
+    planner::{PlannerHarness, in_flight, model_use, orders},
     target,
 };
 use tansyknot_fleet::{target::Target, task::TaskOutcome};
@@ -15,14 +15,14 @@
 fn copies_that_those_who_wait_cannot_use_are_not_counted() {
     let mut harness =
         PlannerHarness::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5"])]);
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     assert!(
         harness.plan().is_empty(),
         "the daemon may not have received the update with the copy yet"
     );
     for _ in 0..4 {
         harness.now = harness.now + std::time::Duration::from_millis(700);
-        harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+        harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     }
     assert_eq!(orders(&harness.plan()), ["t2 +m5"]);
 }
@@ -31,10 +31,10 @@
     at_the_share = { 2, 0 },
     above_the_share_of_eight_slots = { 3, 1 },
 )]
-fn model_gets_another_copy_above_its_share_of_slots_in_use(in_flight: u16, loads: usize) {
+fn model_gets_another_copy_above_its_share_of_slots_in_use(requests: u16, loads: usize) {
     let mut harness =
         PlannerHarness::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5"])]);
-    harness.hear(&[wants("m5", None, 0, 1)], vec![busy("t1", "m5", in_flight)]);
+    harness.record_demand(&[model_use("m5", None, 0, 1)], vec![in_flight("t1", "m5", requests)]);
     assert_eq!(harness.plan().len(), loads);
 }
 
@@ -44,7 +44,7 @@
     let mut targets: Vec<Target> = ["t2", "t3", "t4"].map(on_disk).to_vec();
     targets.push(target("t1", &["m5"], &[]));
     let mut harness = PlannerHarness::new(targets);
-    harness.hear(&[wants("m5", None, 0, 1)], vec![busy("t1", "m5", 7)]);
+    harness.record_demand(&[model_use("m5", None, 0, 1)], vec![in_flight("t1", "m5", 7)]);
     let loads: usize = (0..4).map(|_| harness.plan().len()).sum();
     assert_eq!(loads, 2, "seven requests in flight need three copies on engines with eight slots");
 }
@@ -53,9 +53,12 @@
 fn frequently_requested_model_without_copies_precedes_an_overloaded_one() {
     let mut harness =
         PlannerHarness::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
-    harness.hear(&[wants("m6", None, 0, 1)], Vec::new());
+    harness.record_demand(&[model_use("m6", None, 0, 1)], Vec::new());
     // Twenty arrivals give a rate above that of a model with two copies.
-    harness.hear(&[wants("m5", None, 0, 1), wants("m6", None, 2, 21)], vec![busy("t1", "m5", 7)]);
+    harness.record_demand(
+        &[model_use("m5", None, 0, 1), model_use("m6", None, 2, 21)],
+        vec![in_flight("t1", "m5", 7)],
+    );
     assert_eq!(orders(&harness.plan()), ["t2 +m6"]);
 }
 
@@ -70,11 +73,11 @@
     // Twelve seconds, in steps of half a second.
     let mut all_arrived = 1;
     for step in 1..=24 {
-        harness.hear(&[wants("m0", None, 1, all_arrived)], Vec::new());
+        harness.record_demand(&[model_use("m0", None, 1, all_arrived)], Vec::new());
         all_arrived += if step % every == 0 { arrived } else { 0 };
         harness.now = harness.now + std::time::Duration::from_millis(500);
     }
-    harness.hear(&[wants("m0", None, 1, all_arrived)], Vec::new());
+    harness.record_demand(&[model_use("m0", None, 1, all_arrived)], Vec::new());
     let mut holders = BTreeSet::new();
     for _ in 0..6 {
         for task in harness.plan() {
@@ -100,10 +103,10 @@
     for tick in 0..150 {
         hot += if tick < 120 { 2 } else { 0 };
         warm += if tick % 10 < 3 { 1 } else { 0 };
-        let uses = [("m0", hot), ("m1", warm), ("m2", warm)].map(|(m, n)| wants(m, None, 0, n));
-        harness.hear(&uses, Vec::new());
+        let uses = [("m0", hot), ("m1", warm), ("m2", warm)].map(|(m, n)| model_use(m, None, 0, n));
+        harness.record_demand(&uses, Vec::new());
         harness.now = harness.now + std::time::Duration::from_millis(100);
     }
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 -m0", "t1 +m5"]);
 }
--- a/crates/tansyknot-fleet/tests/crashes.rs
+++ b/crates/tansyknot-fleet/tests/crashes.rs
@@ -15,17 +15,26 @@
 const RUN_DURATION: Duration = Duration::from_secs(30);
 const SHORT_RUN_DURATION: Duration = Duration::from_secs(8);
 
-const CALM: Faults =
-    Faults { poisons: 1, kills: 0.0, resets: 0.0, daemons: 0.0, herds: 0.0, loss: 0.0, jitter: 1 };
-const SEVERAL_POISONS: Faults = Faults { poisons: 4, resets: 1.0, kills: 0.2, ..CALM };
+const CALM: Faults = Faults {
+    poison_requests: 1,
+    target_exits: 0.0,
+    target_resets: 0.0,
+    daemons: 0.0,
+    full_restarts: 0.0,
+    loss: 0.0,
+    jitter: 1,
+};
+const SEVERAL_POISONS: Faults =
+    Faults { poison_requests: 4, target_resets: 1.0, target_exits: 0.2, ..CALM };
 const DATAGRAM_LOSS: Faults = Faults { loss: 0.3, jitter: 120, ..SEVERAL_POISONS };
 const DAEMON_FAILURES: Faults = Faults { daemons: 0.6, loss: 0.1, jitter: 60, ..SEVERAL_POISONS };
-const FLEET_RESTARTS: Faults = Faults { herds: 0.1, ..DAEMON_FAILURES };
-const TARGET_KILLS: Faults = Faults { poisons: 0, kills: 3.0, resets: 2.0, ..CALM };
+const FLEET_RESTARTS: Faults = Faults { full_restarts: 0.1, ..DAEMON_FAILURES };
+const TARGET_KILLS: Faults =
+    Faults { poison_requests: 0, target_exits: 3.0, target_resets: 2.0, ..CALM };
 
 /// Callers whose innocent requests all differ.
 const DISTINCT_REQUESTS: Callers =
-    Callers { innocent_per_s: 60.0, innocent_keys: 1 << 60, again_ms: 80..400 };
+    Callers { innocent_per_s: 60.0, innocent_keys: 1 << 60, repeat_after_ms: 80..400 };
 /// Callers that poll: they send the same twenty innocent requests again and again.
 const POLLS: Callers = Callers { innocent_keys: 20, ..DISTINCT_REQUESTS };
 
@@ -36,21 +45,22 @@
     callers: Callers,
     duration: Duration,
 ) {
-    let mut broken = Vec::new();
-    let (mut innocent, mut rejected, mut begun_after) = (0, 0, 0);
+    let mut violations = Vec::new();
+    let (mut innocent, mut rejected, mut sends_after_third_crash) = (0, 0, 0);
     for seed in support::seeds("CRASHES_SEEDS", default_count) {
         let outcome = CrashSimulation::new(seed, daemons, faults, callers.clone()).run(duration);
-        broken.extend(outcome.broken.iter().map(|violation| format!("seed {seed}: {violation}")));
+        violations
+            .extend(outcome.violations.iter().map(|violation| format!("seed {seed}: {violation}")));
         let rejects = (outcome.rejected > 0).then(|| format!("seed {seed}: {}", outcome.rejected));
-        broken.extend(rejects.map(|count| format!("{count} innocent requests rejected")));
+        violations.extend(rejects.map(|count| format!("{count} innocent requests rejected")));
         innocent += outcome.innocent;
         rejected += outcome.rejected;
-        begun_after = begun_after.max(outcome.begun_after);
+        sends_after_third_crash = sends_after_third_crash.max(outcome.sends_after_third_crash);
     }
     println!(
-        "{rejected} of {innocent} innocent requests rejected; {begun_after} sends after the third crash"
+        "{rejected} of {innocent} innocent requests rejected; {sends_after_third_crash} sends after the third crash"
     );
-    assert!(broken.is_empty(), "{} violations:\n{}", broken.len(), broken.join("\n"));
+    assert!(violations.is_empty(), "{} violations:\n{}", violations.len(), violations.join("\n"));
 }
 
 #[parameterized(
--- a/crates/tansyknot-fleet/tests/dissemination.rs
+++ b/crates/tansyknot-fleet/tests/dissemination.rs
@@ -26,16 +26,16 @@
 fn started_network_with(daemons: usize, leave_within: Duration) -> Network {
     let mut network = Network::new(daemons, TARGETS, leave_within);
     network.run(SECOND * 4);
-    assert_eq!(network.in_step(), daemons);
-    network.table.take_calls();
-    network.take_most_sent();
+    assert_eq!(network.up_to_date_count(), daemons);
+    network.store.take_calls();
+    network.take_max_sent();
     network
 }
 
 /// Runs the network for `duration` while targets change 20 times a second.
 fn run_with_changes(network: &mut Network, duration: Duration) {
     for _ in 0..duration.as_millis() / 50 {
-        network.change();
+        network.change_model();
         network.run(Duration::from_millis(50));
     }
 }
@@ -52,11 +52,11 @@
 fn calm_fleet_asks_the_store_through_its_planner_alone(daemons: usize, calls: u64, bytes: u64) {
     let mut network = started_network(daemons);
     run_with_changes(&mut network, SECOND * 10);
-    let (store_calls, (_, max_bytes)) = (network.table.take_calls(), network.take_most_sent());
+    let (store_calls, (_, max_bytes)) = (network.store.take_calls(), network.take_max_sent());
     assert!(sum(&store_calls) <= calls, "{store_calls:?}");
     assert!(max_bytes <= 10 * bytes, "the busiest daemon sends {} bytes a second", max_bytes / 10);
     network.run(SECOND);
-    assert_eq!(network.in_step(), daemons);
+    assert_eq!(network.up_to_date_count(), daemons);
 }
 
 #[parameterized(
@@ -66,10 +66,10 @@
 fn simultaneous_start_costs_a_few_store_calls_per_daemon(daemons: usize) {
     let mut network = Network::new(daemons, TARGETS, LEAVE_WITHIN);
     network.run(SECOND * 4);
-    let calls = network.table.take_calls();
+    let calls = network.store.take_calls();
     assert_eq!(calls["all_targets"], daemons as u64, "each daemon reads the list once");
     assert!(sum(&calls) <= 6 * daemons as u64, "{calls:?}");
-    assert_eq!(network.in_step(), daemons);
+    assert_eq!(network.up_to_date_count(), daemons);
 }
 
 #[test]
@@ -77,11 +77,11 @@
     let mut network = started_network(340);
     network.loss = 0.02;
     run_with_changes(&mut network, SECOND * 10);
-    let calls = network.table.take_calls();
+    let calls = network.store.take_calls();
     assert!(sum(&calls) <= 200, "{calls:?}");
     // A repeated update may be lost too: of about 1000 changes, one is lost twice in a row.
     network.run(SECOND * 2);
-    assert_eq!(network.in_step(), 340);
+    assert_eq!(network.up_to_date_count(), 340);
 }
 
 // With the short bound, views are too old 1.3 s after the planner is lost, before another daemon may
@@ -96,11 +96,11 @@
     let lost = network.nodes.iter_mut().find(|n| n.address == lost).expect("the planner is a node");
     lost.is_dead = true;
     run_with_changes(&mut network, SECOND * 3);
-    let store_calls = network.table.take_calls();
+    let store_calls = network.store.take_calls();
     assert!(sum(&store_calls) <= calls, "{store_calls:?}");
     assert!(network.planner().is_some());
     network.run(SECOND);
-    assert_eq!(network.in_step(), 339);
+    assert_eq!(network.up_to_date_count(), 339);
 }
 
 #[test]
@@ -114,10 +114,10 @@
     let alive = network.nodes.iter().filter(|n| !n.is_dead).count();
     assert!(alive < 340);
     run_with_changes(&mut network, SECOND * 3);
-    let calls = network.table.take_calls();
+    let calls = network.store.take_calls();
     assert!(sum(&calls) <= 340, "at most one call per daemon: {calls:?}");
     network.run(SECOND);
-    assert_eq!(network.in_step(), alive);
+    assert_eq!(network.up_to_date_count(), alive);
 }
 
 #[test]
@@ -127,23 +127,23 @@
     let is_first = |n: &&support::network::Node| {
         n.address != planner && n.state.peers().rank_of(n.address, n.state.now()) < 2
     };
-    network.mute = network.nodes.iter().find(is_first).map(|n| n.address);
-    assert!(network.mute.is_some());
+    network.muted = network.nodes.iter().find(is_first).map(|n| n.address);
+    assert!(network.muted.is_some());
     run_with_changes(&mut network, SECOND * 3);
-    let calls = network.table.take_calls();
+    let calls = network.store.take_calls();
     assert!(sum(&calls) <= 200, "{calls:?}");
     network.run(SECOND);
-    assert_eq!(network.in_step(), 340);
+    assert_eq!(network.up_to_date_count(), 340);
 }
 
 #[test]
 fn planner_that_lost_the_lease_has_nothing_to_publish() {
     let mut network = started_network(340);
-    network.change();
+    network.change_model();
     network.run(network.planner().expect("there is a planner").state.freshness.list_poll_interval);
     let planner = network.planner().expect("there is a planner");
     let (peer_node, state) = (Arc::clone(&planner.peer_node), Arc::clone(&planner.state));
-    planner.cut(true);
+    planner.set_disconnected(true);
     // This step uses up what its links may carry for now, so later changes wait.
     peer_node.step(StepReason::Heartbeat);
     let target = support::target("t0", &["m9"], &[]);
@@ -165,8 +165,8 @@
         .iter()
         .enumerate()
         .filter(|(n, node)| n.is_multiple_of(3) && node.address != planner);
-    disconnected.for_each(|(_, node)| node.cut(true));
+    disconnected.for_each(|(_, node)| node.set_disconnected(true));
     run_with_changes(&mut network, SECOND * 5);
     network.run(SECOND);
-    assert_eq!(network.in_step(), 340);
+    assert_eq!(network.up_to_date_count(), 340);
 }
--- a/crates/tansyknot-fleet/tests/follow.rs
+++ b/crates/tansyknot-fleet/tests/follow.rs
@@ -33,7 +33,7 @@
 /// A follower of the list, with its store, clock and state.
 struct Rig {
     store: FakeStore,
-    door: StoreClient,
+    client: StoreClient,
     clock: ManualClock,
     state: Arc<State>,
     follower: TargetFollower,
@@ -41,35 +41,35 @@
 
 fn rig() -> Rig {
     let store = FakeStore::new();
-    let door = store.door();
+    let client = store.client();
     let clock = ManualClock::new();
     let state = state(&clock);
     let has_read = Arc::new(AtomicBool::new(false));
-    let follower = TargetFollower::new(Arc::clone(&state), Arc::new(door.clone()), has_read);
-    Rig { store, door, clock, state, follower }
+    let follower = TargetFollower::new(Arc::clone(&state), Arc::new(client.clone()), has_read);
+    Rig { store, client, clock, state, follower }
 }
 
 #[test]
 fn list_is_read_at_once_when_the_store_has_forgotten() {
-    let Rig { store, door, state, mut follower, .. } = rig();
+    let Rig { store, client, state, mut follower, .. } = rig();
     store.set_list(vec![target("t1", &[], &[])]);
     assert!(follower.step());
     store.set_list(vec![target("t2", &[], &[])]);
-    store.push_news(TargetListUpdate::HistoryLost);
+    store.push_update(TargetListUpdate::HistoryLost);
     assert!(follower.step());
     assert!(state.fleet().target(&TargetName::from("t2")).is_some());
     assert!(state.fleet().target(&TargetName::from("t1")).is_none());
-    assert_eq!(door.list_calls(), 3);
+    assert_eq!(client.list_calls(), 3);
 }
 
 #[test]
 fn reading_that_fails_is_given_more_time_and_the_first_is_short() {
-    let Rig { door, mut follower, .. } = rig();
-    door.set(StoreFault::Silent);
+    let Rig { client, mut follower, .. } = rig();
+    client.set_fault(StoreFault::Unresponsive);
     for _ in 0..4 {
         assert!(!follower.step());
     }
-    let timeouts = door.read_within();
+    let timeouts = client.read_timeouts();
     assert!(
         timeouts[0] <= Duration::from_millis(500),
         "a starting daemon soon notices that the store is back"
@@ -83,7 +83,7 @@
 
 #[test]
 fn call_goes_on_from_what_the_planner_has_told() {
-    let Rig { door, state, mut follower, .. } = rig();
+    let Rig { client, state, mut follower, .. } = rig();
     assert!(follower.step());
     let now = state.now();
     let read = ListRead { age: Duration::ZERO, version: 77 };
@@ -94,18 +94,18 @@
         state.planner_view().record_call(mark, 0);
     }
     assert!(follower.step());
-    assert_eq!(door.followed_from(), 77);
+    assert_eq!(client.last_requested_version(), 77);
 }
 
 // Updates publish the age of the planner's view of the configuration to all daemons, so a response
 // that took long to arrive must not count as fresh.
 #[test]
 fn view_of_the_configuration_is_as_old_as_the_answer_that_shows_it() {
-    let Rig { door, clock, state, .. } = rig();
-    let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(door.clone()));
+    let Rig { client, clock, state, .. } = rig();
+    let mut follower = ConfigFollower::new(Arc::clone(&state), Arc::new(client.clone()));
     follower.step();
     let transit_time = Duration::from_millis(500);
-    door.delay(&clock, transit_time);
+    client.delay_long_polls(&clock, transit_time);
     follower.step();
     let as_of = state.store_contacts().config.expect("the store has responded");
     assert!(state.now().since(as_of) >= transit_time);
@@ -113,16 +113,16 @@
 
 #[test]
 fn view_is_retained_while_the_store_is_unavailable() {
-    let Rig { store, door, clock, state, mut follower } = rig();
+    let Rig { store, client, clock, state, mut follower } = rig();
     store.set_list(vec![target("t1", &[], &[])]);
     assert!(follower.step());
     clock.advance(OUTAGE);
-    door.set(StoreFault::Silent);
+    client.set_fault(StoreFault::Unresponsive);
     assert!(!follower.step());
     assert!(state.fleet().target(&TargetName::from("t1")).is_some());
-    door.set(StoreFault::None);
+    client.set_fault(StoreFault::None);
     let removal = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
-    store.push_news(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
+    store.push_update(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
     assert!(follower.step());
     assert!(
         state.fleet().target(&TargetName::from("t1")).is_some(),
@@ -132,12 +132,12 @@
 
 #[test]
 fn entry_that_goes_after_a_call_that_failed_is_gone_if_news_kept_the_view_fresh() {
-    let Rig { store, door, clock, state, mut follower } = rig();
+    let Rig { store, client, clock, state, mut follower } = rig();
     store.set_list(vec![target("t1", &[], &[])]);
     assert!(follower.step());
-    door.set(StoreFault::Silent);
+    client.set_fault(StoreFault::Unresponsive);
     assert!(!follower.step(), "only this daemon lost the store");
-    door.set(StoreFault::None);
+    client.set_fault(StoreFault::None);
     let mut log = ChangeLog::default();
     for _ in 0..20 {
         clock.advance(Duration::from_millis(500));
@@ -149,7 +149,7 @@
     }
     clock.advance(Duration::from_millis(1900));
     let removal = TargetChange::Removed(Removal { name: TargetName::from("t1"), version: 9 });
-    store.push_news(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
+    store.push_update(TargetListUpdate::Changes { changes: vec![removal], version: 9 });
     assert!(follower.step());
     assert!(state.fleet().target(&TargetName::from("t1")).is_none());
 }
--- a/crates/tansyknot-fleet/tests/instrumented_store.rs
+++ b/crates/tansyknot-fleet/tests/instrumented_store.rs
@@ -49,16 +49,16 @@
 #[test]
 fn calls_are_counted_by_kind_and_outcome() {
     let store = FakeStore::new();
-    let door = store.door();
+    let client = store.client();
     let metrics = Arc::new(RecordedMetrics::default());
-    let instrumented = InstrumentedStore::new(Arc::new(door.clone()), Arc::clone(&metrics) as _);
+    let instrumented = InstrumentedStore::new(Arc::new(client.clone()), Arc::clone(&metrics) as _);
     assert!(instrumented.row(RowName::Planner).is_ok());
     assert!(instrumented.write_row(RowName::Planner, 0, b"a").is_ok());
     assert!(
         instrumented.write_row(RowName::Planner, 0, b"b").is_ok(),
         "a conflict is a successful call"
     );
-    door.set(StoreFault::Silent);
+    client.set_fault(StoreFault::Unresponsive);
     assert!(instrumented.targets(std::time::Duration::from_secs(1)).is_err());
     assert_eq!(metrics.value("store_calls read_planner"), 1);
     assert_eq!(metrics.value("store_calls write_planner"), 2);
--- a/crates/tansyknot-fleet/tests/lease.rs
+++ b/crates/tansyknot-fleet/tests/lease.rs
@@ -26,7 +26,7 @@
 fn run(clock: &ManualClock, daemons: &[&Daemon], ms: u64) {
     for _ in 0..ms / 50 {
         advance(clock, 50);
-        daemons.iter().for_each(|d| d.keep());
+        daemons.iter().for_each(|d| d.maintain_lease());
     }
 }
 
@@ -50,8 +50,8 @@
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
-    a.keep();
-    b.keep();
+    a.maintain_lease();
+    b.maintain_lease();
     assert!(may_order(&a));
     run(&clock, &[&a, &b], 20_000);
     assert!(may_order(&a) && !may_order(&b));
@@ -63,11 +63,11 @@
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 2_000);
-    let last = a.last_order_possible();
+    let last = a.last_order_time();
     let may_order_at = until_it_may_order(&clock, &b);
     assert!(may_order_at.since(last) >= HANDOVER_INTERVAL, "{:?}", may_order_at.since(last));
     assert!(may_order_at.since(last) < HANDOVER_INTERVAL + Duration::from_secs(1));
-    assert!(b.lease.fence() > a.fence_seen());
+    assert!(b.lease.fence() > a.last_order_fence());
 }
 
 #[test]
@@ -95,12 +95,12 @@
         for (n, d) in daemons.iter().enumerate() {
             // Every few seconds, another daemon loses the store or the responses to its calls.
             let fault = match (round / 130) % 7 {
-                k if k as usize == n => StoreFault::Silent,
-                k if k as usize == n + 3 => StoreFault::LosesAnswers,
+                k if k as usize == n => StoreFault::Unresponsive,
+                k if k as usize == n + 3 => StoreFault::LosesResponses,
                 _ => StoreFault::None,
             };
-            d.door.set(fault);
-            d.keep();
+            d.store.set_fault(fault);
+            d.maintain_lease();
         }
         let ordering: Vec<usize> = (0..3).filter(|n| may_order(&daemons[*n])).collect();
         assert!(ordering.len() <= 1, "several daemons may order in round {round}: {ordering:?}");
@@ -121,24 +121,24 @@
 }
 
 #[parameterized(
-    silent = { StoreFault::Silent },
+    silent = { StoreFault::Unresponsive },
     refusing = { StoreFault::Busy },
-    losing_answers = { StoreFault::LosesAnswers },
+    losing_answers = { StoreFault::LosesResponses },
 )]
 fn holder_without_the_store_stops_ordering(fault: StoreFault) {
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let a = Daemon::new("a", &store, &clock);
     run(&clock, &[&a], 1_000);
-    a.door.set(fault);
+    a.store.set_fault(fault);
     run(&clock, &[&a], 1_700);
-    if fault == StoreFault::LosesAnswers {
+    if fault == StoreFault::LosesResponses {
         // After a lost response, a conflict returns the daemon's own row, which confirms its write.
         run(&clock, &[&a], 1_000);
         return;
     }
     assert!(!may_order(&a));
-    a.door.set(StoreFault::None);
+    a.store.set_fault(StoreFault::None);
     run(&clock, &[&a], 1_000);
     assert!(may_order(&a), "no other daemon has taken the lease over");
 }
@@ -150,9 +150,9 @@
     let a = Daemon::new("a", &store, &clock);
     run(&clock, &[&a], 1_000);
     let new_run = Daemon::new("a", &store, &clock);
-    new_run.keep();
+    new_run.maintain_lease();
     assert!(may_order(&new_run));
-    assert!(new_run.lease.fence() > a.fence_seen());
+    assert!(new_run.lease.fence() > a.last_order_fence());
 }
 
 #[test]
@@ -198,7 +198,7 @@
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     let c = Daemon::new("c", &store, &clock);
     run(&clock, &[&a, &b, &c], 2_000);
-    let last = a.last_order_possible();
+    let last = a.last_order_time();
     while !b.lease.is_mine() {
         run(&clock, &[&b], 50);
     }
@@ -214,7 +214,7 @@
     let store = FakeStore::new();
     let (a, b) = (Daemon::new("a", &store, &clock), Daemon::new("b", &store, &clock));
     run(&clock, &[&a, &b], 2_000);
-    let last = a.last_order_possible();
+    let last = a.last_order_time();
     while !b.lease.is_mine() {
         run(&clock, &[&b], 50);
     }
@@ -244,7 +244,7 @@
 fn reluctant_daemon_plans_only_if_nobody_else_does() {
     let clock = ManualClock::new();
     let store = FakeStore::new();
-    let slow = Daemon::with("s", &store, &clock, Reluctance::Reluctant);
+    let slow = Daemon::with_reluctance("s", &store, &clock, Reluctance::Reluctant);
     run(&clock, &[&slow], 500);
     assert!(!slow.lease.is_mine());
     let fast = Daemon::new("f", &store, &clock);
--- a/crates/tansyknot-fleet/tests/leaving.rs
+++ b/crates/tansyknot-fleet/tests/leaving.rs
@@ -19,14 +19,27 @@
 const LARGE_FLEET: usize = 25;
 const RUN_DURATION: Duration = Duration::from_secs(40);
 
-const CALM: Faults =
-    Faults { daemons: 0.0, herds: 0.0, outages: 0.0, loss: 0.0, jitter: 1, answer_ms: 10 };
-const SLOW_RESPONSES: Faults = Faults { daemons: 0.6, herds: 0.1, answer_ms: 500, ..CALM };
+const CALM: Faults = Faults {
+    daemons: 0.0,
+    full_restarts: 0.0,
+    store_outages: 0.0,
+    loss: 0.0,
+    jitter: 1,
+    response_ms: 10,
+};
+const SLOW_RESPONSES: Faults =
+    Faults { daemons: 0.6, full_restarts: 0.1, response_ms: 500, ..CALM };
 const DATAGRAM_LOSS: Faults =
-    Faults { daemons: 0.6, loss: 0.3, jitter: 120, answer_ms: 60, ..CALM };
-const OUTAGES: Faults = Faults { daemons: 0.2, outages: 0.08, answer_ms: 60, ..CALM };
-const ALL_FAULTS: Faults =
-    Faults { daemons: 0.5, herds: 0.05, outages: 0.05, loss: 0.2, jitter: 60, answer_ms: 400 };
+    Faults { daemons: 0.6, loss: 0.3, jitter: 120, response_ms: 60, ..CALM };
+const OUTAGES: Faults = Faults { daemons: 0.2, store_outages: 0.08, response_ms: 60, ..CALM };
+const ALL_FAULTS: Faults = Faults {
+    daemons: 0.5,
+    full_restarts: 0.05,
+    store_outages: 0.05,
+    loss: 0.2,
+    jitter: 60,
+    response_ms: 400,
+};
 
 #[parameterized(
     calm = { SMALL_FLEET, LEAVE_WITHIN, CALM },
@@ -43,12 +56,12 @@
     leave_within: Duration,
     faults: Faults,
 ) {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for seed in support::seeds("LEAVING_SEEDS", 6) {
         let result = Simulation::new(seed, daemons, leave_within, faults).run(RUN_DURATION);
-        broken.extend(result.err().map(|e| format!("seed {seed}: {e}")));
+        violations.extend(result.err().map(|e| format!("seed {seed}: {e}")));
     }
-    assert!(broken.is_empty(), "{} seeds failed:\n{}", broken.len(), broken.join("\n"));
+    assert!(violations.is_empty(), "{} seeds failed:\n{}", violations.len(), violations.join("\n"));
 }
 
 // A daemon called the store before its planner read the full list. The response arrived after the
--- a/crates/tansyknot-fleet/tests/older_answers.rs
+++ b/crates/tansyknot-fleet/tests/older_answers.rs
@@ -13,7 +13,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use support::{held, network::Network, target};
+use support::{loaded_model, network::Network, target};
 use tansyknot_core::name::TargetName;
 use tansyknot_fleet::{state::State, target::Target};
 use yare::parameterized;
@@ -48,7 +48,7 @@
 )]
 fn answer_made_before_a_target_went_does_not_bring_it_back(is_full: bool) {
     let mut network = started();
-    network.table.put(Target { models: vec![held("m3", &[])], ..target("t0", &[], &[]) });
+    network.store.put(Target { models: vec![loaded_model("m3", &[])], ..target("t0", &[], &[]) });
     let node = &mut network.nodes[FOLLOWER];
     let state = Arc::clone(&node.state);
     if is_full {
@@ -56,7 +56,7 @@
     }
     let call = node.calls.follower.begin();
     let response = node.calls.follower.request(call);
-    network.table.remove(&t0());
+    network.store.remove(&t0());
     network.run(SECOND);
     assert!(!has_target(&state, &t0()), "the planner has published the removal");
     network.nodes[FOLLOWER].calls.follower.end(call, response);
@@ -74,7 +74,7 @@
     let call = node.calls.follower.begin();
     let response = node.calls.follower.request(call);
     let new = target("t9", &["m0"], &[]);
-    network.table.put(new.clone());
+    network.store.put(new.clone());
     network.run(SECOND);
     assert!(has_target(&state, &new.name), "the planner has published the new target");
     network.nodes[FOLLOWER].calls.follower.end(call, response);
@@ -89,10 +89,10 @@
     let planner = Arc::clone(&network.nodes[PLANNER].state);
     // The planner's store calls failed for a while, so it assumes that the store was unavailable.
     planner.fleet().store_returned(planner.now(), planner.now());
-    network.table.remove(&t0());
+    network.store.remove(&t0());
     // The planner still publishes later changes.
     network.run(SECOND / 2);
-    network.table.put(target("t9", &["m0"], &[]));
+    network.store.put(target("t9", &["m0"], &[]));
     network.run(SECOND);
     assert!(has_target(&planner, &t0()), "the entry may only have expired");
     // The restarted daemon does not have the retained entry.
--- a/crates/tansyknot-fleet/tests/plan.rs
+++ b/crates/tansyknot-fleet/tests/plan.rs
@@ -5,8 +5,8 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use support::{
-    catalog, held,
-    planner::{PlannerHarness, busy, orders, wants},
+    catalog, loaded_model,
+    planner::{PlannerHarness, in_flight, model_use, orders},
     target,
 };
 use tansyknot_core::name::{ModelName, ServiceName, TargetName};
@@ -34,17 +34,19 @@
         target("t2", &["m0"], &["m5"]),
         memory,
     ]);
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t3 +m5"]);
 }
 
 #[test]
 fn least_requested_model_is_evicted() {
     let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
-    harness
-        .hear(&[wants("m0", None, 0, 1), wants("m1", None, 0, 1), wants("m2", None, 0, 1)], vec![]);
-    harness.hear(
-        &[wants("m0", None, 0, 9), wants("m2", None, 0, 5), wants("m5", None, 2, 2)],
+    harness.record_demand(
+        &[model_use("m0", None, 0, 1), model_use("m1", None, 0, 1), model_use("m2", None, 0, 1)],
+        vec![],
+    );
+    harness.record_demand(
+        &[model_use("m0", None, 0, 9), model_use("m2", None, 0, 5), model_use("m5", None, 2, 2)],
         Vec::new(),
     );
     assert_eq!(orders(&harness.plan()), ["t1 -m1", "t1 +m5"]);
@@ -53,27 +55,31 @@
 #[test]
 fn model_in_use_is_not_evicted() {
     let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m2"], &["m5"])]);
-    let in_flight = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
-    harness.hear(&[wants("m5", None, 1, 1)], in_flight);
+    let in_flight =
+        vec![in_flight("t1", "m0", 1), in_flight("t1", "m1", 1), in_flight("t1", "m2", 1)];
+    harness.record_demand(&[model_use("m5", None, 1, 1)], in_flight);
     assert!(harness.plan().is_empty());
 }
 
 #[test]
 fn loaded_model_is_not_evicted_before_its_first_request() {
     let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1"], &["m5", "m6"])]);
-    harness.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 1), busy("t1", "m1", 1)]);
+    harness.record_demand(
+        &[model_use("m5", None, 1, 1)],
+        vec![in_flight("t1", "m0", 1), in_flight("t1", "m1", 1)],
+    );
     assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
     harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Done, harness.now);
     harness.targets[0] = Arc::new(target("t1", &["m0", "m1", "m5"], &["m5", "m6"]));
 
-    let others = || vec![busy("t1", "m0", 1), busy("t1", "m1", 1)];
-    let demand = [wants("m5", None, 0, 1), wants("m6", None, 1, 1)];
-    harness.hear(&demand, others());
+    let others = || vec![in_flight("t1", "m0", 1), in_flight("t1", "m1", 1)];
+    let demand = [model_use("m5", None, 0, 1), model_use("m6", None, 1, 1)];
+    harness.record_demand(&demand, others());
     assert!(harness.plan().is_empty(), "waiting daemons may not have received the load yet");
-    let with_its_request = [others(), vec![busy("t1", "m5", 1)]].concat();
-    harness.hear(&demand, with_its_request);
+    let with_its_request = [others(), vec![in_flight("t1", "m5", 1)]].concat();
+    harness.record_demand(&demand, with_its_request);
     assert!(harness.plan().is_empty(), "m5 is in use");
-    harness.hear(&demand, others());
+    harness.record_demand(&demand, others());
     assert_eq!(orders(&harness.plan()), ["t1 -m5", "t1 +m6"]);
 }
 
@@ -81,10 +87,10 @@
 fn briefly_busy_target_is_preferred_to_the_weight_store() {
     let near = target("t1", &["m0", "m1", "m2"], &["m5"]);
     let mut harness = PlannerHarness::new(vec![near, target("t2", &[], &[])]);
-    let in_use = vec![busy("t1", "m0", 1), busy("t1", "m1", 1), busy("t1", "m2", 1)];
-    harness.hear(&[wants("m5", None, 1, 1), wants("m0", None, 0, 1)], in_use);
+    let in_use = vec![in_flight("t1", "m0", 1), in_flight("t1", "m1", 1), in_flight("t1", "m2", 1)];
+    harness.record_demand(&[model_use("m5", None, 1, 1), model_use("m0", None, 0, 1)], in_use);
     assert!(harness.plan().is_empty(), "a load from the weight store takes six seconds");
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()).last().map(String::as_str), Some("t1 +m5"));
 }
 
@@ -96,12 +102,15 @@
         PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"]), target("t2", &["m0"], &[])]);
     for n in 0..6 {
         let (model, other) = if n % 2 == 0 { ("m5", "m6") } else { ("m6", "m5") };
-        harness.hear(&[wants(model, None, 1, n + 1), wants(other, None, 0, n)], Vec::new());
+        harness.record_demand(
+            &[model_use(model, None, 1, n + 1), model_use(other, None, 0, n)],
+            Vec::new(),
+        );
         assert_eq!(orders(&harness.plan()), [format!("t1 +{model}")]);
         harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, harness.now);
         harness.now = harness.now + std::time::Duration::from_millis(500);
     }
-    harness.hear(&[wants("m7", None, 1, 1), wants("m6", None, 0, 6)], Vec::new());
+    harness.record_demand(&[model_use("m7", None, 1, 1), model_use("m6", None, 0, 6)], Vec::new());
     assert_eq!(
         orders(&harness.plan()),
         ["t2 +m7"],
@@ -113,7 +122,7 @@
 fn target_that_soon_finishes_its_load_is_waited_for() {
     let near = target("t1", &[], &["m5", "m6"]);
     let mut harness = PlannerHarness::new(vec![near, target("t2", &[], &[])]);
-    harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1), model_use("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m5"], "m6 is not loaded from the weight store");
 }
 
@@ -123,24 +132,24 @@
 )]
 fn set_of_models_with_the_least_demand_is_evicted(arrivals_of_large: u32, expected: &[&str]) {
     let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1", "m8", "m9"], &["m5"])]);
-    harness.hear(&["m0", "m1", "m8", "m9"].map(|m| wants(m, None, 0, 1)), Vec::new());
-    let large = [wants("m0", None, 0, 30), wants("m1", None, 0, arrivals_of_large)];
-    let small = ["m8", "m9"].map(|m| wants(m, None, 0, 5));
-    harness.hear(&[large, small].concat(), Vec::new());
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&["m0", "m1", "m8", "m9"].map(|m| model_use(m, None, 0, 1)), Vec::new());
+    let large = [model_use("m0", None, 0, 30), model_use("m1", None, 0, arrivals_of_large)];
+    let small = ["m8", "m9"].map(|m| model_use(m, None, 0, 5));
+    harness.record_demand(&[large, small].concat(), Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), expected);
 }
 
 #[test]
 fn requests_that_can_be_on_time_go_before_those_that_are_late() {
     let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
-    harness.hear(&[wants("m5", None, 9, 9)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 9, 9)], Vec::new());
     // The objective is 2.5 s and a load from disk takes 0.8 s.
     for _ in 0..3 {
         harness.now = harness.now + std::time::Duration::from_millis(800);
-        harness.hear(&[wants("m5", None, 9, 9)], Vec::new());
+        harness.record_demand(&[model_use("m5", None, 9, 9)], Vec::new());
     }
-    harness.hear(&[wants("m5", None, 9, 9), wants("m6", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 9, 9), model_use("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m6"]);
 }
 
@@ -148,10 +157,11 @@
 fn late_requests_do_not_delay_a_new_one_for_their_model() {
     let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
     for _ in 0..4 {
-        harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 5, 5)], Vec::new());
+        harness
+            .record_demand(&[model_use("m5", None, 1, 1), model_use("m6", None, 5, 5)], Vec::new());
         harness.now = harness.now + std::time::Duration::from_millis(800);
     }
-    harness.hear(&[wants("m5", None, 2, 2), wants("m6", None, 5, 5)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 2, 2), model_use("m6", None, 5, 5)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
 }
 
@@ -160,8 +170,8 @@
     let mut harness =
         PlannerHarness::new(vec![target("t1", &[], &["m5"]), target("t2", &[], &["m5"])]);
     for daemon in ["a", "b", "c", "d"] {
-        let uses = [wants("m5", None, 3, 3)];
-        harness.hear_of(daemon, &uses, Vec::new());
+        let uses = [model_use("m5", None, 3, 3)];
+        harness.record_demand_from(daemon, &uses, Vec::new());
     }
     assert_eq!(harness.plan().len(), 1);
     assert!(harness.plan().is_empty(), "the load is in progress");
@@ -170,8 +180,8 @@
 #[test]
 fn engine_is_never_planned_beyond_its_memory() {
     let mut harness = PlannerHarness::new(vec![target("t1", &["m0", "m1"], &["m5", "m6", "m7"])]);
-    let uses: Vec<ModelUse> = (2..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
-    harness.hear(&uses, Vec::new());
+    let uses: Vec<ModelUse> = (2..10).map(|n| model_use(&format!("m{n}"), None, 1, 1)).collect();
+    harness.record_demand(&uses, Vec::new());
     let tasks = harness.plan();
     let engine =
         catalog().engine(&ServiceName::from("s")).cloned().expect("the service has an engine");
@@ -191,8 +201,8 @@
 fn loads_from_the_weight_store_keep_below_its_limit() {
     let mut harness =
         PlannerHarness::new((0..10).map(|n| target(&format!("t{n}"), &[], &[])).collect());
-    let uses: Vec<ModelUse> = (0..10).map(|n| wants(&format!("m{n}"), None, 1, 1)).collect();
-    harness.hear(&uses, Vec::new());
+    let uses: Vec<ModelUse> = (0..10).map(|n| model_use(&format!("m{n}"), None, 1, 1)).collect();
+    harness.record_demand(&uses, Vec::new());
     let mut started = 0;
     for _ in 0..10 {
         for _ in harness.plan() {
@@ -208,7 +218,7 @@
 #[test]
 fn queued_load_is_announced_after_the_one_in_progress() {
     let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5", "m6"])]);
-    harness.hear(&[wants("m5", None, 2, 2), wants("m6", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 2, 2), model_use("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m5"]);
     let due = |harness: &PlannerHarness, model: &str| {
         let pending = harness.planner.pending_loads(harness.now);
@@ -218,7 +228,7 @@
     // A load from disk takes 0.8 s, and each order adds 0.1 s.
     assert_eq!((first, second), (Some(900), Some(1800)));
     harness.planner.task_ended(&TargetName::from("t1"), TaskOutcome::Replan, harness.now);
-    harness.hear(&[wants("m5", None, 0, 2), wants("m6", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 0, 2), model_use("m6", None, 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m6"]);
     assert_eq!(due(&harness, "m6"), Some(900), "no load is in progress before it");
 }
@@ -228,7 +238,7 @@
     let mut leaving = target("t1", &[], &["m5"]);
     leaving.state = TargetState::Draining;
     let mut harness = PlannerHarness::new(vec![leaving, target("t2", &[], &["m5"])]);
-    harness.hear(&[wants("m5", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1)], Vec::new());
     let opens_at = |name: &TargetName| (name.as_str() != "t2").then_some(harness.now);
     assert!(harness.planner.plan(&harness.targets, &opens_at, &catalog(), harness.now).is_empty());
 }
@@ -239,42 +249,51 @@
         PlannerHarness::new(vec![target("t1", &["m5"], &[]), target("t2", &[], &["m5", "m6"])]);
     let (now, cooldown_end) = (harness.now, harness.now + std::time::Duration::from_secs(2));
     let opens_at = |name: &TargetName| Some(if name.as_str() == "t1" { cooldown_end } else { now });
-    harness.hear(&[wants("m5", None, 1, 1), wants("m6", None, 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m5", None, 1, 1), model_use("m6", None, 1, 1)], Vec::new());
     let tasks = harness.planner.plan(&harness.targets, &opens_at, &catalog(), harness.now);
     assert_eq!(orders(&tasks), ["t2 +m6"]);
 }
 
 #[test]
 fn adapter_is_loaded_where_its_model_has_fewest_adapters() {
-    let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
+    let full = Target { models: vec![loaded_model("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
     let mut harness =
         PlannerHarness::new(vec![full, target("t2", &["m0"], &[]), target("t3", &["m1"], &[])]);
-    harness.hear(&[wants("m0", None, 0, 1), wants("m0", Some("a3"), 1, 1)], Vec::new());
+    harness.record_demand(
+        &[model_use("m0", None, 0, 1), model_use("m0", Some("a3"), 1, 1)],
+        Vec::new(),
+    );
     assert_eq!(orders(&harness.plan()), ["t2 +m0/a3"]);
 }
 
 #[test]
 fn adapter_without_a_slot_replaces_the_least_used_one() {
-    let full = Target { models: vec![held("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
+    let full = Target { models: vec![loaded_model("m0", &["a1", "a2"])], ..target("t1", &[], &[]) };
     let mut harness = PlannerHarness::new(vec![full]);
-    harness.hear(&[wants("m0", Some("a1"), 0, 1), wants("m0", Some("a2"), 0, 1)], Vec::new());
-    harness.hear(&[wants("m0", Some("a1"), 0, 9), wants("m0", Some("a3"), 1, 1)], Vec::new());
+    harness.record_demand(
+        &[model_use("m0", Some("a1"), 0, 1), model_use("m0", Some("a2"), 0, 1)],
+        Vec::new(),
+    );
+    harness.record_demand(
+        &[model_use("m0", Some("a1"), 0, 9), model_use("m0", Some("a3"), 1, 1)],
+        Vec::new(),
+    );
     assert_eq!(orders(&harness.plan()), ["t1 -m0/a2", "t1 +m0/a3"]);
 }
 
 #[test]
 fn model_is_loaded_for_a_waiting_adapter_request() {
     let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m0"])]);
-    harness.hear(&[wants("m0", Some("a1"), 1, 1)], Vec::new());
+    harness.record_demand(&[model_use("m0", Some("a1"), 1, 1)], Vec::new());
     assert_eq!(orders(&harness.plan()), ["t1 +m0"]);
 }
 
 #[test]
 fn demand_of_an_unresponsive_daemon_is_dropped() {
     let mut harness = PlannerHarness::new(vec![target("t1", &[], &["m5"])]);
-    harness.hear(&[wants("m5", None, 1, 1)], vec![busy("t1", "m0", 4)]);
+    harness.record_demand(&[model_use("m5", None, 1, 1)], vec![in_flight("t1", "m0", 4)]);
     harness.now = harness.now + tansyknot_fleet::plan::DAEMON_TIMEOUT;
-    harness.hear_of("other", &[], Vec::new());
+    harness.record_demand_from("other", &[], Vec::new());
     assert_eq!(harness.planner.daemon_count(), 1);
     assert!(harness.plan().is_empty());
     assert!(harness.planner.loads().is_empty());
--- a/crates/tansyknot-fleet/tests/poison.rs
+++ b/crates/tansyknot-fleet/tests/poison.rs
@@ -325,17 +325,17 @@
     /// Starts a daemon that has not read the poison row.
     fn daemon(&self) -> (Arc<tansyknot_fleet::state::State>, PoisonKeeper) {
         let state = state(&self.clock);
-        let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(self.store.door()));
+        let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(self.store.client()));
         (state, keeper)
     }
 
     fn row(&self) -> Vec<u8> {
-        let row = self.store.door().row(RowName::Poison).expect("the store responds");
+        let row = self.store.client().row(RowName::Poison).expect("the store responds");
         row.expect("the row exists").value
     }
 
     fn set_row(&self, value: &[u8]) {
-        let written = self.store.door().write_row(RowName::Poison, 0, value);
+        let written = self.store.client().write_row(RowName::Poison, 0, value);
         written.expect("the store responds");
     }
 }
@@ -373,13 +373,13 @@
 fn failed_write_is_retried() {
     let rig = Rig::new();
     let state = state(&rig.clock);
-    let door = rig.store.door();
-    let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(door.clone()));
-    door.set(StoreFault::Silent);
+    let client = rig.store.client();
+    let keeper = PoisonKeeper::new(Arc::clone(&state), Arc::new(client.clone()));
+    client.set_fault(StoreFault::Unresponsive);
     assert!(!keeper.read(), "no request is admitted before the row is read");
     (0..3).for_each(|run| crash(&mut state.poison(), REQUEST, run, at(1)));
     assert!(keeper.step(true));
-    door.set(StoreFault::None);
+    client.set_fault(StoreFault::None);
     assert!(!keeper.step(true));
     assert!(!rig.row().is_empty());
 }
--- a/crates/tansyknot-fleet/tests/signals.rs
+++ b/crates/tansyknot-fleet/tests/signals.rs
@@ -20,59 +20,60 @@
 
 const CALM: Faults = Faults {
     limits: 0.1,
-    leaves: 0.0,
-    rests: 0.0,
-    garbled: 0.0,
-    entries: 0.0,
-    runs: 0.0,
+    departures: 0.0,
+    retry_delays: 0.0,
+    malformed: 0.0,
+    entry_changes: 0.0,
+    target_restarts: 0.0,
     daemons: 0.0,
-    cuts: 0.0,
+    isolations: 0.0,
     planner: 0.0,
-    herds: 0.0,
-    store: 0.0,
+    full_restarts: 0.0,
+    store_outages: 0.0,
     loss: 0.0,
     jitter: 10,
 };
 const FREQUENT_LIMITS: Faults = Faults { limits: 0.3, ..CALM };
-const ENTRIES: Faults = Faults { entries: 1.5, garbled: 0.1, runs: 0.1, ..CALM };
-const LEAVING: Faults = Faults { leaves: 0.4, entries: 1.0, garbled: 0.1, ..CALM };
-const RETRY_DELAYS: Faults = Faults { rests: 0.4, entries: 1.0, ..CALM };
+const ENTRIES: Faults = Faults { entry_changes: 1.5, malformed: 0.1, target_restarts: 0.1, ..CALM };
+const LEAVING: Faults = Faults { departures: 0.4, entry_changes: 1.0, malformed: 0.1, ..CALM };
+const RETRY_DELAYS: Faults = Faults { retry_delays: 0.4, entry_changes: 1.0, ..CALM };
 const LOSSES: Faults = Faults { loss: 0.2, jitter: 120, ..CALM };
-const DAEMONS: Faults = Faults { daemons: 0.6, cuts: 0.2, ..CALM };
+const DAEMONS: Faults = Faults { daemons: 0.6, isolations: 0.2, ..CALM };
 const PLANNERS: Faults = Faults { planner: 0.2, ..CALM };
-const STORE_OUTAGES: Faults = Faults { store: 0.08, ..CALM };
+const STORE_OUTAGES: Faults = Faults { store_outages: 0.08, ..CALM };
 const ALL: Faults = Faults {
     limits: 0.3,
-    leaves: 0.2,
-    rests: 0.2,
+    departures: 0.2,
+    retry_delays: 0.2,
     daemons: 0.4,
-    cuts: 0.1,
+    isolations: 0.1,
     planner: 0.1,
-    herds: 0.03,
-    store: 0.04,
+    full_restarts: 0.03,
+    store_outages: 0.04,
     loss: 0.1,
     jitter: 60,
     ..ENTRIES
 };
 
 fn search(default_seeds: u64, daemons: usize, faults: Faults, duration: Duration) -> f64 {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let (mut requests, mut served, mut allowed, mut used) = (0, 0, 0.0, 0);
     let mut fullest: f64 = 0.0;
     for seed in support::seeds("SIGNALS_SEEDS", default_seeds) {
         let result = Simulation::new(seed, daemons, faults).run(duration);
-        broken.extend(result.broken.iter().map(|violation| format!("seed {seed}: {violation}")));
+        violations
+            .extend(result.violations.iter().map(|violation| format!("seed {seed}: {violation}")));
         requests += result.requests;
         served += result.served;
         allowed += result.allowed;
         used += result.used;
-        fullest = fullest.max(result.fullest);
+        fullest = fullest.max(result.max_window_use);
     }
     println!(
         "{served} of {requests} served; {used} of {allowed:.0} within limits; fullest {fullest:.2}"
     );
-    broken.truncate(20);
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    violations.truncate(20);
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
     used as f64 / allowed
 }
 
@@ -113,5 +114,5 @@
 )]
 fn failed_before(seed: u64) {
     let result = Simulation::new(seed, SMALL_SITE, ALL).run(DURATION);
-    assert_eq!(result.broken, Vec::<String>::new());
+    assert_eq!(result.violations, Vec::<String>::new());
 }
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -41,15 +41,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
     /// The number of different requests under which targets crash; all of them are repeated.
-    pub(crate) poisons: u128,
+    pub(crate) poison_requests: u128,
     /// Exits of targets for another reason.
-    pub(crate) kills: f64,
+    pub(crate) target_exits: f64,
     /// Targets that reset all their connections and stay up.
-    pub(crate) resets: f64,
+    pub(crate) target_resets: f64,
     /// Restarts, freezes and store disconnections of single daemons.
     pub(crate) daemons: f64,
     /// Simultaneous restarts of all daemons.
-    pub(crate) herds: f64,
+    pub(crate) full_restarts: f64,
     /// The share of datagrams that are lost, and the bound on their random extra delay in
     /// milliseconds.
     pub(crate) loss: f64,
@@ -64,19 +64,19 @@
     /// The number of different keys among them; a low number repeats each, as polls do.
     pub(crate) innocent_keys: u128,
     /// The range of the time after which a poison request is repeated, in milliseconds.
-    pub(crate) again_ms: Range<u64>,
+    pub(crate) repeat_after_ms: Range<u64>,
 }
 
 /// The results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Outcome {
     /// Violated bounds, as text.
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     /// Attempts of innocent requests, and those of them that were rejected.
     pub(crate) innocent: usize,
     pub(crate) rejected: usize,
     /// The maximum number of sends of one poison request that began after its third crash.
-    pub(crate) begun_after: usize,
+    pub(crate) sends_after_third_crash: usize,
 }
 
 /// One run of a target; after its end another run gets its address.
@@ -146,7 +146,7 @@
             callers,
             targets: (0..TARGETS as u64).map(target).collect(),
             in_flight: Vec::new(),
-            histories: (0..faults.poisons).map(key).collect(),
+            histories: (0..faults.poison_requests).map(key).collect(),
             daemon_faults: DaemonFaults::new(daemons),
             runs: TARGETS as u64,
             due: Vec::new(),
@@ -172,7 +172,7 @@
     }
 
     fn now(&self) -> Time {
-        self.network.clock_now()
+        self.network.now()
     }
 
     fn occurs(&mut self, per_s: f64) -> bool {
@@ -185,17 +185,17 @@
 
     fn disturb(&mut self) {
         let now = self.now();
-        if self.occurs(self.faults.kills) {
+        if self.occurs(self.faults.target_exits) {
             let n = self.rng.random_range(0..TARGETS);
             self.end_target(n, now);
         }
-        if self.occurs(self.faults.resets) {
+        if self.occurs(self.faults.target_resets) {
             self.reset_target(now);
         }
         if self.occurs(self.faults.daemons) {
             self.disturb_daemon();
         }
-        if self.occurs(self.faults.herds) {
+        if self.occurs(self.faults.full_restarts) {
             self.daemon_faults.restart_all(&mut self.network);
         }
         self.daemon_faults.update_store_access(Time::default(), &self.network);
@@ -257,7 +257,7 @@
         let poisons: Vec<RequestKey> = self.histories.keys().copied().collect();
         for key in poisons {
             if now >= self.histories[&key].next_at {
-                let next_at = now + self.random_duration(self.callers.again_ms.clone());
+                let next_at = now + self.random_duration(self.callers.repeat_after_ms.clone());
                 self.histories.entry(key).and_modify(|history| history.next_at = next_at);
                 self.arrive(key, now);
             }
@@ -357,8 +357,8 @@
 
     /// Returns whether daemons and the messages between them have no faults.
     fn is_fault_free(&self) -> bool {
-        let Faults { daemons, herds, loss, .. } = self.faults;
-        daemons + herds + loss == 0.0
+        let Faults { daemons, full_restarts, loss, .. } = self.faults;
+        daemons + full_restarts + loss == 0.0
     }
 
     /// Checks that daemons receive a third crash in time, where they have no faults.
@@ -374,7 +374,9 @@
             let has_convicted = |n: &&super::network::Node| n.state.poison().is_convicted(key);
             let convicted = self.network.nodes.iter().filter(has_convicted).count();
             if (convicted as f64) < MIN_KNOWN_SHARE * all as f64 {
-                self.outcome.broken.push(format!("{convicted} of {all} daemons convicted {key}"));
+                self.outcome
+                    .violations
+                    .push(format!("{convicted} of {all} daemons convicted {key}"));
             }
         }
     }
@@ -383,10 +385,10 @@
         for (key, history) in &self.histories {
             let Some(third) = history.crashes.get(CRASHES_TO_CONVICT - 1) else { continue };
             let begun = history.sends.iter().filter(|(at, _)| at > third).count();
-            self.outcome.begun_after = self.outcome.begun_after.max(begun);
+            self.outcome.sends_after_third_crash = self.outcome.sends_after_third_crash.max(begun);
             if self.is_fault_free() && begun > MAX_FAULT_FREE_SENDS {
                 self.outcome
-                    .broken
+                    .violations
                     .push(format!("{begun} sends of {key} began after the third crash"));
             }
             let is_late = |(at, must_meet_bound): &&(Time, bool)| {
@@ -394,7 +396,7 @@
             };
             let late = history.sends.iter().filter(is_late).count();
             if late > MAX_LATE_SENDS {
-                self.outcome.broken.push(format!("{late} late sends of {key}"));
+                self.outcome.violations.push(format!("{late} late sends of {key}"));
             }
         }
     }
--- a/crates/tansyknot-fleet/tests/support/daemon_faults.rs
+++ b/crates/tansyknot-fleet/tests/support/daemon_faults.rs
@@ -51,7 +51,7 @@
         network: &mut Network,
         rng: &mut StdRng,
     ) {
-        let now = network.clock_now();
+        let now = network.now();
         let until = now + Duration::from_millis(rng.random_range(ms));
         match rng.random_range(0..3) {
             0 => return self.restart(n, network),
@@ -64,7 +64,7 @@
     pub(crate) fn restart(&mut self, n: usize, network: &mut Network) {
         network.restart(n);
         self.epochs[n] += 1;
-        self.extend_disturbance(n, network.clock_now());
+        self.extend_disturbance(n, network.now());
     }
 
     pub(crate) fn restart_all(&mut self, network: &mut Network) {
@@ -78,12 +78,12 @@
     /// Disconnects each daemon from the store until its disconnection ends, all of them until
     /// `all_until`.
     pub(crate) fn update_store_access(&self, all_until: Time, network: &Network) {
-        let now = network.clock_now();
+        let now = network.now();
         let disconnected_until = self.disconnected_until.iter().map(|until| all_until.max(*until));
         network
             .nodes
             .iter()
             .zip(disconnected_until)
-            .for_each(|(node, until)| node.cut(now < until));
+            .for_each(|(node, until)| node.set_disconnected(now < until));
     }
 }
--- a/crates/tansyknot-fleet/tests/support/engine.rs
+++ b/crates/tansyknot-fleet/tests/support/engine.rs
@@ -12,7 +12,7 @@
     target::{LoadedModel, Report, StartTime, Target},
 };
 
-use super::held;
+use super::loaded_model;
 
 /// How a target treats the next order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,9 +20,9 @@
     /// The order does not reach the target.
     Lost,
     /// The order is executed at once, and its response is lost.
-    AnswerLost,
+    ResponseLost,
     /// The order has no response and is executed just before the next order.
-    Late,
+    Delayed,
     /// The target rejects the order because another one is in progress.
     Busy,
 }
@@ -30,12 +30,12 @@
 /// A target's engine.
 #[derive(Default)]
 pub(crate) struct FakeEngine {
-    pub(crate) born: Option<StartTime>,
+    pub(crate) started_at: Option<StartTime>,
     pub(crate) models: Vec<LoadedModel>,
     pub(crate) orders: u64,
     pub(crate) faults: VecDeque<OrderFault>,
     pub(crate) delayed: Option<Order>,
-    pub(crate) most_models: usize,
+    pub(crate) max_models: usize,
 }
 
 /// A target that executes orders at once.
@@ -49,16 +49,16 @@
 impl FakeTarget {
     pub(crate) fn new(models: &[&str]) -> Self {
         let fake = Self::default();
-        fake.engine().models = models.iter().map(|m| held(m, &[])).collect();
-        fake.engine().most_models = models.len();
+        fake.engine().models = models.iter().map(|m| loaded_model(m, &[])).collect();
+        fake.engine().max_models = models.len();
         fake
     }
 
     /// Creates a target that is in the list of `state`.
-    pub(crate) fn listed(state: &Arc<State>, target: &Target) -> Self {
+    pub(crate) fn in_list(state: &Arc<State>, target: &Target) -> Self {
         let fake = Self { listed_in: Some((Arc::clone(state), target.clone())), ..Self::default() };
         fake.engine().models.clone_from(&target.models);
-        fake.engine().most_models = target.models.len();
+        fake.engine().max_models = target.models.len();
         state.fleet().apply_full_list(vec![target.clone()], target.version, None, state.now());
         fake
     }
@@ -66,7 +66,7 @@
     fn update_list(&self, engine: &FakeEngine) {
         let Some((state, target)) = &self.listed_in else { return };
         let version = 1 + engine.orders;
-        let (models, started_at) = (engine.models.clone(), engine.born);
+        let (models, started_at) = (engine.models.clone(), engine.started_at);
         let target = Target { models, started_at, version, ..target.clone() };
         let now = state.now();
         state.fleet().apply_change(TargetChange::Put(Box::new(target)), now);
@@ -103,7 +103,7 @@
             }
         }
         self.orders += 1;
-        self.most_models = self.most_models.max(self.models.len());
+        self.max_models = self.max_models.max(self.models.len());
         OrderReply::Accepted
     }
 }
@@ -122,11 +122,11 @@
             None => Ok(engine.execute(order)),
             Some(OrderFault::Busy) => Ok(OrderReply::Conflict),
             Some(OrderFault::Lost) => Err(Error::unknown("target", "no response")),
-            Some(OrderFault::AnswerLost) => {
+            Some(OrderFault::ResponseLost) => {
                 engine.execute(order);
                 Err(Error::unknown("target", "no response"))
             }
-            Some(OrderFault::Late) => {
+            Some(OrderFault::Delayed) => {
                 engine.delayed = Some(order.clone());
                 Err(Error::unknown("target", "no response"))
             }
@@ -138,6 +138,6 @@
     fn report(&self, _: &Target) -> Result<Report> {
         let engine = self.engine();
         let (accepted_orders, models) = (engine.orders, engine.models.clone());
-        Ok(Report { started_at: engine.born, busy: false, accepted_orders, models })
+        Ok(Report { started_at: engine.started_at, busy: false, accepted_orders, models })
     }
 }
--- a/crates/tansyknot-fleet/tests/support/leaving.rs
+++ b/crates/tansyknot-fleet/tests/support/leaving.rs
@@ -10,7 +10,7 @@
     target::{Target, TargetState},
 };
 
-use super::{held, list_calls::Latency, network::Network, target};
+use super::{list_calls::Latency, loaded_model, network::Network, target};
 
 /// A daemon must meet the bounds once it and the store have been undisturbed for this long.
 const MIN_UNDISTURBED: Duration = Duration::from_secs(3);
@@ -31,15 +31,15 @@
     /// Restarts, freezes and store disconnections of single daemons per second.
     pub(crate) daemons: f64,
     /// Simultaneous restarts of all daemons per second.
-    pub(crate) herds: f64,
+    pub(crate) full_restarts: f64,
     /// Store outages per second.
-    pub(crate) outages: f64,
+    pub(crate) store_outages: f64,
     /// The share of datagrams that are lost at times.
     pub(crate) loss: f64,
     /// The bound on the random extra delay of datagrams at times, in milliseconds.
     pub(crate) jitter: u64,
     /// The bound on the time that responses of the store take at times, in milliseconds.
-    pub(crate) answer_ms: u64,
+    pub(crate) response_ms: u64,
 }
 
 /// A violated bound: what a daemon has of a target or lacks.
@@ -79,8 +79,8 @@
 impl Simulation {
     pub(crate) fn new(seed: u64, daemons: usize, leave_within: Duration, faults: Faults) -> Self {
         let network = Network::new(daemons, TARGETS, leave_within);
-        let now = network.clock_now();
-        let ready = network.table.rows().targets.keys().map(|name| (name.clone(), now)).collect();
+        let now = network.now();
+        let ready = network.store.rows().targets.keys().map(|name| (name.clone(), now)).collect();
         Self {
             network,
             rng: StdRng::seed_from_u64(seed),
@@ -102,8 +102,8 @@
 
     /// Runs for `duration`; returns the first violation.
     pub(crate) fn run(&mut self, duration: Duration) -> Result<(), String> {
-        let until = self.network.clock_now() + duration;
-        while self.network.clock_now() < until {
+        let until = self.network.now() + duration;
+        while self.network.now() < until {
             self.draw_events();
             self.network.run(STEP);
             self.record_views();
@@ -154,7 +154,7 @@
     }
 
     fn now(&self) -> Time {
-        self.network.clock_now()
+        self.network.now()
     }
 
     /// Draws whether an event with `rate` per second occurs in this step.
@@ -176,11 +176,11 @@
         if self.occurs(self.faults.daemons) {
             self.disturb_daemon(now);
         }
-        if self.occurs(self.faults.herds) {
+        if self.occurs(self.faults.full_restarts) {
             self.record_event("all daemons restart".to_owned());
             (0..self.network.nodes.len()).for_each(|n| self.restart(n, now));
         }
-        if self.occurs(self.faults.outages) && now >= self.store_unavailable_until {
+        if self.occurs(self.faults.store_outages) && now >= self.store_unavailable_until {
             self.start_store_outage(now);
         }
         if self.occurs(0.5) {
@@ -192,7 +192,7 @@
         for n in 0..self.network.nodes.len() {
             let is_disconnected =
                 now < self.disconnected_until[n] || now < self.store_unavailable_until;
-            self.network.nodes[n].cut(is_disconnected);
+            self.network.nodes[n].set_disconnected(is_disconnected);
         }
     }
 
@@ -216,14 +216,14 @@
         let new = target(&format!("t{}", self.targets_started), &["m0"], &[]);
         self.ready.insert(new.name.clone(), now);
         self.record_event(format!("{} joins", new.name));
-        self.network.table.put(new);
+        self.network.store.put(new);
     }
 
     fn change_loaded_model(&mut self, name: &TargetName) {
-        let Some(entry) = self.network.table.rows().targets.get(name).cloned() else { return };
+        let Some(entry) = self.network.store.rows().targets.get(name).cloned() else { return };
         let model = format!("m{}", self.rng.random_range(0..4));
         self.record_event(format!("{name} loads {model}"));
-        self.network.table.put(Target { models: vec![held(&model, &[])], ..entry });
+        self.network.store.put(Target { models: vec![loaded_model(&model, &[])], ..entry });
     }
 
     fn is_stable(&self, now: Time) -> bool {
@@ -237,15 +237,15 @@
     }
 
     fn drain(&mut self, name: TargetName, now: Time) {
-        let Some(entry) = self.network.table.rows().targets.get(&name).cloned() else { return };
-        self.network.table.put(Target { state: TargetState::Draining, ..entry });
+        let Some(entry) = self.network.store.rows().targets.get(&name).cloned() else { return };
+        self.network.store.put(Target { state: TargetState::Draining, ..entry });
         self.record_departure(&name, now);
         let until = now + self.leave_within + self.random_duration(0, 2_000);
         self.draining.insert(name, until);
     }
 
     fn remove(&mut self, name: TargetName, now: Time) {
-        self.network.table.remove(&name);
+        self.network.store.remove(&name);
         self.record_departure(&name, now);
     }
 
@@ -257,14 +257,14 @@
         let drained: Vec<TargetName> =
             self.draining.extract_if(.., |_, at| now >= *at).map(|(name, _)| name).collect();
         for name in drained {
-            self.network.table.remove(&name);
+            self.network.store.remove(&name);
             self.record_event(format!("{name} is removed"));
         }
         let returning: Vec<TargetName> =
             self.expired.extract_if(.., |_, at| now >= *at).map(|(name, _)| name).collect();
         for name in returning {
             self.record_event(format!("{name} rejoins"));
-            self.network.table.put(target(name.as_str(), &["m0"], &[]));
+            self.network.store.put(target(name.as_str(), &["m0"], &[]));
             self.left.remove(&name);
             self.ready.insert(name, now);
         }
@@ -275,10 +275,10 @@
         if now < self.store_unavailable_until {
             return;
         }
-        let rows: Vec<Target> = self.network.table.rows().targets.values().cloned().collect();
+        let rows: Vec<Target> = self.network.store.rows().targets.values().cloned().collect();
         for entry in rows {
             if self.occurs(1.0 / MEAN_HEARTBEAT_INTERVAL.as_secs_f64()) {
-                self.network.table.put(entry);
+                self.network.store.put(entry);
             }
         }
     }
@@ -317,7 +317,7 @@
         }
         for name in self.ready.keys().cloned().collect::<Vec<_>>() {
             if self.rng.random_bool(0.6) {
-                self.network.table.remove(&name);
+                self.network.store.remove(&name);
                 self.record_departure(&name, now);
                 if self.rng.random_bool(0.8) {
                     let returning = until + self.random_duration(100, 1_900);
@@ -328,12 +328,12 @@
     }
 
     fn change_network(&mut self) {
-        let Faults { loss, jitter, answer_ms, .. } = self.faults;
+        let Faults { loss, jitter, response_ms, .. } = self.faults;
         let is_bad = self.rng.random_bool(0.5);
         self.network.loss = if is_bad { loss } else { 0.0 };
         self.network.jitter = if is_bad { jitter } else { 1 };
         let is_slow = self.rng.random_bool(0.5);
-        let max_ms = if is_slow { answer_ms } else { answer_ms.min(10) };
+        let max_ms = if is_slow { response_ms } else { response_ms.min(10) };
         self.network.latency = Some(Latency { request: 0..10, response: 1..max_ms + 1 });
     }
 
@@ -344,7 +344,7 @@
         let Some((name, planner)) = name.zip(self.network.planner()) else { return };
         let mut fleet = planner.state.fleet();
         let Some(state) = fleet.target(&name).map(|t| t.state) else { return };
-        let models = vec![held("m5", &[])];
+        let models = vec![loaded_model("m5", &[])];
         let target_override =
             TargetOverride { target: name, started_at: None, revision, state, models };
         fleet.apply_override(&target_override, planner.lease.fence(), now);
--- a/crates/tansyknot-fleet/tests/support/mod.rs
+++ b/crates/tansyknot-fleet/tests/support/mod.rs
@@ -33,12 +33,12 @@
 use store::{FakeStore, StoreClient};
 
 /// The interval at which the lease is handed over, as production deployments set it.
-pub(crate) const TURN: Duration = Duration::from_millis(3000);
+pub(crate) const HANDOVER_INTERVAL: Duration = Duration::from_millis(3000);
 
 /// A daemon that takes part in the lease only.
 pub(crate) struct Daemon {
     pub(crate) clock: ManualClock,
-    pub(crate) door: StoreClient,
+    pub(crate) store: StoreClient,
     pub(crate) state: Arc<State>,
     pub(crate) lease: Arc<SharedLease>,
     pub(crate) keeper: Arc<LeaseKeeper>,
@@ -48,16 +48,16 @@
 
 impl Daemon {
     pub(crate) fn new(name: &str, store: &FakeStore, clock: &ManualClock) -> Self {
-        Self::with(name, store, clock, Reluctance::None)
+        Self::with_reluctance(name, store, clock, Reluctance::None)
     }
 
-    pub(crate) fn with(
+    pub(crate) fn with_reluctance(
         name: &str,
         store: &FakeStore,
         clock: &ManualClock,
         reluctance: Reluctance,
     ) -> Self {
-        let door = store.door();
+        let store = store.client();
         let state = state(clock);
         let lease = Arc::new(SharedLease::default());
         // Each daemon has a host of its own.
@@ -74,15 +74,15 @@
         };
         let keeper = Arc::new(LeaseKeeper::new(
             Arc::clone(&state),
-            Arc::new(door.clone()),
+            Arc::new(store.clone()),
             Arc::clone(&lease),
             holder,
-            LeaseOptions { handover_interval: TURN },
+            LeaseOptions { handover_interval: HANDOVER_INTERVAL },
             reluctance,
         ));
         Self {
             clock: clock.clone(),
-            door,
+            store,
             state,
             lease,
             keeper,
@@ -92,7 +92,7 @@
     }
 
     /// Runs a step of the lease keeper if one is due, and records an order if one may be sent.
-    pub(crate) fn keep(&self) {
+    pub(crate) fn maintain_lease(&self) {
         if self.clock.now() >= *self.next_step_at.borrow() {
             let pause = self.keeper.step();
             *self.next_step_at.borrow_mut() = self.clock.now() + pause;
@@ -111,7 +111,7 @@
 
     /// Returns the last time at which the daemon could send an order if its keeper runs no further
     /// step.
-    pub(crate) fn last_order_possible(&self) -> Time {
+    pub(crate) fn last_order_time(&self) -> Time {
         let t = TargetName::from("t");
         let mut at = self.clock.now();
         while self.lease.may_order(&t, at + Duration::from_millis(10)).is_some() {
@@ -121,7 +121,7 @@
     }
 
     /// Returns the fencing token of the last order, 0 if there was none.
-    pub(crate) fn fence_seen(&self) -> u64 {
+    pub(crate) fn last_order_fence(&self) -> u64 {
         self.last_order.borrow().map_or(0, |(_, fence)| fence)
     }
 }
@@ -157,7 +157,7 @@
         zone: ZoneName::from("z1"),
         state: TargetState::Ready,
         slots: 8,
-        models: models.iter().map(|m| held(m, &[])).collect(),
+        models: models.iter().map(|m| loaded_model(m, &[])).collect(),
         in_memory: Vec::new(),
         on_disk: names(disk),
         version: 1,
@@ -165,7 +165,7 @@
 }
 
 /// Creates a loaded model with adapters.
-pub(crate) fn held(model: &str, adapters: &[&str]) -> LoadedModel {
+pub(crate) fn loaded_model(model: &str, adapters: &[&str]) -> LoadedModel {
     LoadedModel {
         model: ModelName::from(model),
         adapters: adapters.iter().map(|a| (*a).into()).collect(),
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -33,7 +33,7 @@
 };
 
 use super::{
-    TURN,
+    HANDOVER_INTERVAL,
     engine::FakeTarget,
     list_calls::{Latency, ListCalls},
     shared_store::{SharedStore, StoreClient},
@@ -100,7 +100,7 @@
     pub(crate) calls: ListCalls,
     poison: PoisonKeeper,
     config: ConfigFollower,
-    table: SharedStore,
+    store: SharedStore,
     config_at: Time,
     /// Whether the daemon has read what it needs before it accepts requests.
     pub(crate) takes_requests: bool,
@@ -116,7 +116,7 @@
 /// All daemons, their store and the network between them.
 pub(crate) struct Network {
     pub(crate) clock: ManualClock,
-    pub(crate) table: SharedStore,
+    pub(crate) store: SharedStore,
     pub(crate) nodes: Vec<Node>,
     /// The share of datagrams that are lost.
     pub(crate) loss: f64,
@@ -126,7 +126,7 @@
     /// The time that calls for the list take; none if unset.
     pub(crate) latency: Option<Latency>,
     /// The daemon whose datagrams are lost unless they go to the planner.
-    pub(crate) mute: Option<SocketAddr>,
+    pub(crate) muted: Option<SocketAddr>,
     /// Daemons that neither send nor receive datagrams.
     pub(crate) isolated: BTreeSet<SocketAddr>,
     /// Whether datagrams to frozen daemons are queued; they are lost otherwise.
@@ -146,17 +146,17 @@
     pub(crate) fn new(daemons: usize, targets: usize, leave_within: Duration) -> Self {
         let clock = ManualClock::new();
         clock.advance(Duration::from_secs(100));
-        let table = SharedStore::default();
-        (0..targets).for_each(|n| table.put(target(&format!("t{n}"), &["m0"], &["m1", "m2"])));
+        let store = SharedStore::default();
+        (0..targets).for_each(|n| store.put(target(&format!("t{n}"), &["m0"], &["m1", "m2"])));
         let traffic = Arc::default();
         let mut network = Self {
             clock,
-            table,
+            store,
             nodes: Vec::new(),
             loss: 0.0,
             jitter: 0,
             latency: None,
-            mute: None,
+            muted: None,
             isolated: BTreeSet::new(),
             queues_for_frozen: false,
             access: AccessOptions::default(),
@@ -206,12 +206,12 @@
         };
         let is_disconnected = Arc::new(AtomicBool::new(false));
         let store_client = StoreClient {
-            table: self.table.clone(),
+            store: self.store.clone(),
             is_disconnected: Arc::clone(&is_disconnected),
         };
         let store: Arc<dyn Store> = Arc::new(store_client);
         let reluctance = if has_good_link { Reluctance::None } else { Reluctance::Reluctant };
-        let options = LeaseOptions { handover_interval: TURN };
+        let options = LeaseOptions { handover_interval: HANDOVER_INTERVAL };
         let keeper = LeaseKeeper::new(
             Arc::clone(&state),
             Arc::clone(&store),
@@ -253,7 +253,7 @@
             calls,
             poison,
             config,
-            table: self.table.clone(),
+            store: self.store.clone(),
             config_at: lease_step_at,
             takes_requests: false,
             is_disconnected,
@@ -265,16 +265,16 @@
         }
     }
 
-    pub(crate) fn clock_now(&self) -> Time {
+    pub(crate) fn now(&self) -> Time {
         self.clock.now()
     }
 
     /// Replaces the loaded model of one target.
-    pub(crate) fn change(&mut self) {
+    pub(crate) fn change_model(&mut self) {
         self.changes += 1;
-        let n = self.changes % self.table.rows().targets.len() as u64;
+        let n = self.changes % self.store.rows().targets.len() as u64;
         let model = format!("m{}", self.changes);
-        self.table.put(target(&format!("t{n}"), &[model.as_str()], &["m1", "m2"]));
+        self.store.put(target(&format!("t{n}"), &[model.as_str()], &["m1", "m2"]));
     }
 
     /// Advances the time by `duration`.
@@ -309,7 +309,7 @@
         }
         let planner = self.planner().map(|n| n.address);
         for datagram in due {
-            let is_mute = Some(datagram.from) == self.mute && Some(datagram.to) != planner;
+            let is_mute = Some(datagram.from) == self.muted && Some(datagram.to) != planner;
             let is_isolated =
                 [datagram.from, datagram.to].iter().any(|end| self.isolated.contains(end));
             let to = self.nodes.iter().find(|n| n.address == datagram.to && n.runs_at(now));
@@ -344,8 +344,8 @@
     }
 
     /// Returns the number of running daemons whose list agrees with the store's.
-    pub(crate) fn in_step(&self) -> usize {
-        let rows = self.table.rows();
+    pub(crate) fn up_to_date_count(&self) -> usize {
+        let rows = self.store.rows();
         let is_up_to_date = |n: &&Node| {
             let fleet = n.state.fleet();
             rows.targets
@@ -357,7 +357,7 @@
 
     /// Returns the maximum numbers of datagrams and of bytes that a daemon has sent since the last
     /// query.
-    pub(crate) fn take_most_sent(&self) -> (u64, u64) {
+    pub(crate) fn take_max_sent(&self) -> (u64, u64) {
         let mut traffic = self.traffic.lock().expect("the lock is not poisoned");
         let sent = std::mem::take(&mut traffic.sent);
         let max = |of: fn(&(u64, u64)) -> u64| sent.values().map(of).max().unwrap_or(0);
@@ -398,14 +398,14 @@
 
     /// Calls the store for the configuration when that is due.
     fn follow_config(&mut self, now: Time) {
-        if self.table.config_version() == 0 {
+        if self.store.config_version() == 0 {
             return;
         }
         let own_version = self.state.catalog().map_or(0, |c| c.version);
         let is_planner = self.peer_node.is_planner();
         // The planner's long-poll call ends as soon as there is a change.
         let is_woken =
-            is_planner && !self.is_disconnected() && self.table.config_version() > own_version;
+            is_planner && !self.is_disconnected() && self.store.config_version() > own_version;
         if now < self.config_at && !is_woken {
             return;
         }
@@ -426,7 +426,7 @@
     }
 
     /// Disconnects the daemon from the store, or reconnects it.
-    pub(crate) fn cut(&self, is_disconnected: bool) {
+    pub(crate) fn set_disconnected(&self, is_disconnected: bool) {
         self.is_disconnected.store(is_disconnected, Ordering::SeqCst);
     }
 }
--- a/crates/tansyknot-fleet/tests/support/planner.rs
+++ b/crates/tansyknot-fleet/tests/support/planner.rs
@@ -19,7 +19,12 @@
 use super::catalog;
 
 /// Creates the demand of one daemon for a model.
-pub(crate) fn wants(model: &str, adapter: Option<&str>, waiting: u16, arrived: u32) -> ModelUse {
+pub(crate) fn model_use(
+    model: &str,
+    adapter: Option<&str>,
+    waiting: u16,
+    arrived: u32,
+) -> ModelUse {
     ModelUse {
         service: ServiceName::from("s"),
         model: ModelName::from(model),
@@ -30,7 +35,7 @@
 }
 
 /// Creates the count of requests of one daemon in flight at a target.
-pub(crate) fn busy(target: &str, model: &str, count: u16) -> InFlight {
+pub(crate) fn in_flight(target: &str, model: &str, count: u16) -> InFlight {
     InFlight { target: TargetName::from(target), model: Some(ModelName::from(model)), count }
 }
 
@@ -48,11 +53,16 @@
         Self { planner: Planner::default(), targets, now: Time::from_millis(100_000), seq: 0 }
     }
 
-    pub(crate) fn hear(&mut self, uses: &[ModelUse], in_flight: Vec<InFlight>) {
-        self.hear_of("d", uses, in_flight);
+    pub(crate) fn record_demand(&mut self, uses: &[ModelUse], in_flight: Vec<InFlight>) {
+        self.record_demand_from("d", uses, in_flight);
     }
 
-    pub(crate) fn hear_of(&mut self, daemon: &str, uses: &[ModelUse], in_flight: Vec<InFlight>) {
+    pub(crate) fn record_demand_from(
+        &mut self,
+        daemon: &str,
+        uses: &[ModelUse],
+        in_flight: Vec<InFlight>,
+    ) {
         self.seq += 1;
         let demand = Demand {
             daemon: daemon.into(),
--- a/crates/tansyknot-fleet/tests/support/shared_store.rs
+++ b/crates/tansyknot-fleet/tests/support/shared_store.rs
@@ -97,7 +97,7 @@
 
 /// One daemon's client of the store.
 pub(crate) struct StoreClient {
-    pub(crate) table: SharedStore,
+    pub(crate) store: SharedStore,
     pub(crate) is_disconnected: Arc<AtomicBool>,
 }
 
@@ -106,7 +106,7 @@
         if self.is_disconnected.load(Ordering::SeqCst) {
             return Err(Error::unknown("store", "cut"));
         }
-        Ok(self.table.record_call(kind))
+        Ok(self.store.record_call(kind))
     }
 }
 
--- a/crates/tansyknot-fleet/tests/support/signals.rs
+++ b/crates/tansyknot-fleet/tests/support/signals.rs
@@ -51,25 +51,25 @@
     /// Limits that are set, changed or ended.
     pub(crate) limits: f64,
     /// Targets that leave; the list shows it seconds later or never.
-    pub(crate) leaves: f64,
+    pub(crate) departures: f64,
     /// Targets that reject all requests for some seconds with a retry delay.
-    pub(crate) rests: f64,
+    pub(crate) retry_delays: f64,
     /// The share of signal fields in responses that are malformed.
-    pub(crate) garbled: f64,
+    pub(crate) malformed: f64,
     /// Entries that are rewritten, or expire and are restored.
-    pub(crate) entries: f64,
+    pub(crate) entry_changes: f64,
     /// Restarts of targets under their name or another one.
-    pub(crate) runs: f64,
+    pub(crate) target_restarts: f64,
     /// Restarts, freezes and store disconnections of single daemons.
     pub(crate) daemons: f64,
     /// Daemons that are isolated from all others.
-    pub(crate) cuts: f64,
+    pub(crate) isolations: f64,
     /// Restarts, freezes and store disconnections of the planner.
     pub(crate) planner: f64,
     /// Simultaneous restarts of all daemons.
-    pub(crate) herds: f64,
+    pub(crate) full_restarts: f64,
     /// Store outages for all daemons.
-    pub(crate) store: f64,
+    pub(crate) store_outages: f64,
     /// The share of datagrams that are lost, and the bound on their random extra delay in
     /// milliseconds.
     pub(crate) loss: f64,
@@ -79,7 +79,7 @@
 /// The results of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunResult {
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     pub(crate) requests: usize,
     pub(crate) served: usize,
     /// The requests that the limits of the lone target allowed while one applied, and those it
@@ -87,7 +87,7 @@
     pub(crate) allowed: f64,
     pub(crate) used: usize,
     /// The highest use of a window, as a share of its limit.
-    pub(crate) fullest: f64,
+    pub(crate) max_window_use: f64,
 }
 
 /// A run of a daemon that received a signal, and the run of the target that sent it.
@@ -163,7 +163,7 @@
     }
 
     fn now(&self) -> Time {
-        self.network.clock_now()
+        self.network.now()
     }
 
     fn occurs(&mut self, per_s: f64) -> bool {
@@ -181,7 +181,7 @@
         let fresh = target(&format!("t{}", self.starts), &[model], &[]);
         let started_at = Some(StartTime(self.starts as u64));
         let entry = Target { name: name.unwrap_or(fresh.name), started_at, slots: 32, ..fresh };
-        self.network.table.put(entry.clone());
+        self.network.store.put(entry.clone());
         let now = self.now();
         TargetRun {
             entry,
@@ -207,25 +207,25 @@
             let n = if self.rng.random_bool(0.5) { LONE_TARGET } else { n };
             self.change_limit(n, now);
         }
-        if self.occurs(self.faults.leaves) && self.target_runs[n].leaving.is_none() {
+        if self.occurs(self.faults.departures) && self.target_runs[n].leaving.is_none() {
             let listed_at = now + self.random_duration(0..13_000);
             let gone_at = now + LEAVE_WITHIN + self.random_duration(500..13_000);
             self.target_runs[n].leaving = Some(Leaving { listed_at, gone_at });
         }
-        if self.occurs(self.faults.rests) {
+        if self.occurs(self.faults.retry_delays) {
             let until = now + self.random_duration(500..6000);
             self.target_runs[n].rejects_until = self.target_runs[n].rejects_until.max(until);
         }
         self.advance_departures(now);
-        if self.occurs(self.faults.entries) {
+        if self.occurs(self.faults.entry_changes) {
             self.change_entry(n, now);
         }
-        if self.occurs(self.faults.runs) {
+        if self.occurs(self.faults.target_restarts) {
             self.check_limit(n);
             let name = self.target_runs[n].entry.name.clone();
             let is_same_name = self.rng.random_bool(0.5);
             if !is_same_name {
-                self.network.table.remove(&name);
+                self.network.store.remove(&name);
             }
             self.target_runs[n] = self.start(n, is_same_name.then_some(name));
         }
@@ -242,11 +242,11 @@
             let entry = &mut self.target_runs[n].entry;
             if now >= listed_at && entry.is_ready() && now >= self.store_unavailable_until {
                 entry.state = TargetState::Draining;
-                self.network.table.put(entry.clone());
+                self.network.store.put(entry.clone());
             }
             if now >= gone_at && now >= self.store_unavailable_until {
                 self.check_limit(n);
-                self.network.table.remove(&self.target_runs[n].entry.name);
+                self.network.store.remove(&self.target_runs[n].entry.name);
                 self.target_runs[n] = self.start(n, None);
             }
         }
@@ -269,9 +269,9 @@
         }
         let entry = self.target_runs[n].entry.clone();
         if self.rng.random_bool(0.5) {
-            self.network.table.put(entry);
+            self.network.store.put(entry);
         } else {
-            self.network.table.remove(&entry.name);
+            self.network.store.remove(&entry.name);
             let until = now + self.random_duration(300..1500);
             self.target_runs[n].expired_until = Some(until);
         }
@@ -283,7 +283,7 @@
         }
         for target_run in &mut self.target_runs {
             if target_run.expired_until.take_if(|until| now >= *until).is_some() {
-                self.network.table.put(target_run.entry.clone());
+                self.network.store.put(target_run.entry.clone());
                 target_run.restored_at = now;
             }
         }
@@ -299,19 +299,19 @@
         {
             self.daemon_faults.disturb(n, 300..4000, &mut self.network, &mut self.rng);
         }
-        if self.occurs(self.faults.cuts) {
+        if self.occurs(self.faults.isolations) {
             let n = self.rng.random_range(0..self.daemon_faults.len());
             let until = now + self.random_duration(500..5000);
             self.isolated_until.insert(n, until);
             self.daemon_faults.extend_disturbance(n, until);
         }
-        if self.occurs(self.faults.herds) {
+        if self.occurs(self.faults.full_restarts) {
             self.daemon_faults.restart_all(&mut self.network);
             let periods =
                 self.target_runs.iter_mut().filter_map(|target_run| target_run.periods.last_mut());
             periods.for_each(|period| period.receipt = None);
         }
-        if self.occurs(self.faults.store) && now >= self.store_unavailable_until {
+        if self.occurs(self.faults.store_outages) && now >= self.store_unavailable_until {
             self.store_unavailable_until = now + self.random_duration(1000..9000);
         }
         self.isolated_until.retain(|_, until| now < *until);
@@ -330,12 +330,12 @@
                 req.daemon,
                 now.since(*at)
             );
-            self.result.broken.push(what);
+            self.result.violations.push(what);
         }
         if let Some(until) = self.backs_off_until.get(&recipient).filter(|until| now < **until) {
             let what =
                 format!("d{} sends {:?} before a retry delay ends", req.daemon, until.since(now));
-            self.result.broken.push(what);
+            self.result.violations.push(what);
         }
     }
 
@@ -405,7 +405,7 @@
     fn check_limit(&mut self, n: usize) {
         let target_run = &self.target_runs[n];
         let ends = target_run.periods.iter().skip(1).map(|period| period.since);
-        let ends = ends.chain([self.network.clock_now()]);
+        let ends = ends.chain([self.network.now()]);
         for (period, end) in target_run.periods.iter().zip(ends) {
             let (Some(limit), Some(receipt)) = (period.limit, period.receipt) else { continue };
             let from = receipt.at + WINDOW_START_DELAY;
@@ -422,12 +422,12 @@
                 .map(|k| arrivals[k..].iter().filter(|at| at.since(arrivals[k]) < WINDOW).count())
                 .max()
                 .unwrap_or(0);
-            self.result.fullest = self.result.fullest.max(fullest as f64 / max);
+            self.result.max_window_use = self.result.max_window_use.max(fullest as f64 / max);
             if fullest as f64 > max {
                 let name = &target_run.entry.name;
                 let what =
                     format!("{name} limits to {limit} per second and received {fullest} in 4 s");
-                self.result.broken.push(what);
+                self.result.violations.push(what);
             }
             let allowed = limit * end.since(from).as_secs_f64();
             if n == LONE_TARGET && allowed >= MIN_ALLOWED {
--- a/crates/tansyknot-fleet/tests/support/signals/request.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/request.rs
@@ -198,7 +198,7 @@
         {
             let (n, name) = (req.daemon, &candidate.entry.name);
             self.result
-                .broken
+                .violations
                 .push(format!("d{n} rejects a request though {name} is unrestricted"));
         }
     }
@@ -254,10 +254,10 @@
                     signals.retry_delay = SignalField::Value(target_run.rejects_until.since(now));
                     outcome = Outcome::NotRun;
                 }
-                if self.rng.random_bool(self.faults.garbled) {
+                if self.rng.random_bool(self.faults.malformed) {
                     signals.limit = SignalField::Malformed;
                 }
-                if self.rng.random_bool(self.faults.garbled) {
+                if self.rng.random_bool(self.faults.malformed) {
                     signals.leaving = SignalField::Malformed;
                 }
                 flight.stage = Stage::Responded(signals, outcome, now);
--- a/crates/tansyknot-fleet/tests/support/store.rs
+++ b/crates/tansyknot-fleet/tests/support/store.rs
@@ -20,11 +20,11 @@
     #[default]
     None,
     /// Calls do not reach the store and time out.
-    Silent,
+    Unresponsive,
     /// The store refuses calls.
     Busy,
     /// The store executes calls, and their responses are lost.
-    LosesAnswers,
+    LosesResponses,
 }
 
 #[derive(Default)]
@@ -61,8 +61,8 @@
     store: FakeStore,
     fault: Arc<Mutex<StoreFault>>,
     list_calls: Arc<Mutex<u64>>,
-    read_within: Arc<Mutex<Vec<Duration>>>,
-    followed_from: Arc<Mutex<u64>>,
+    read_timeouts: Arc<Mutex<Vec<Duration>>>,
+    last_requested_version: Arc<Mutex<u64>>,
     response_delay: Arc<Mutex<Option<ResponseDelay>>>,
 }
 
@@ -78,7 +78,7 @@
         Self::default()
     }
 
-    pub(crate) fn door(&self) -> StoreClient {
+    pub(crate) fn client(&self) -> StoreClient {
         StoreClient { store: self.clone(), ..StoreClient::default() }
     }
 
@@ -102,18 +102,18 @@
         list.targets = targets.into_iter().map(|t| Target { version, ..t }).collect();
     }
 
-    pub(crate) fn push_news(&self, update: TargetListUpdate) {
+    pub(crate) fn push_update(&self, update: TargetListUpdate) {
         self.updates.lock().expect("the lock is not poisoned").push_back(update);
     }
 }
 
 impl StoreClient {
-    pub(crate) fn set(&self, fault: StoreFault) {
+    pub(crate) fn set_fault(&self, fault: StoreFault) {
         *self.fault.lock().expect("the lock is not poisoned") = fault;
     }
 
     /// Makes each long-poll call advance the clock by its wait and, for its response, by `transit`.
-    pub(crate) fn delay(&self, clock: &ManualClock, transit: Duration) {
+    pub(crate) fn delay_long_polls(&self, clock: &ManualClock, transit: Duration) {
         let response_delay = ResponseDelay { clock: clock.clone(), transit };
         *self.response_delay.lock().expect("the lock is not poisoned") = Some(response_delay);
     }
@@ -124,18 +124,18 @@
     }
 
     /// Returns the timeout of each full read of the list.
-    pub(crate) fn read_within(&self) -> Vec<Duration> {
-        self.read_within.lock().expect("the lock is not poisoned").clone()
+    pub(crate) fn read_timeouts(&self) -> Vec<Duration> {
+        self.read_timeouts.lock().expect("the lock is not poisoned").clone()
     }
 
     /// Returns the version after which changes of the list were last requested.
-    pub(crate) fn followed_from(&self) -> u64 {
-        *self.followed_from.lock().expect("the lock is not poisoned")
+    pub(crate) fn last_requested_version(&self) -> u64 {
+        *self.last_requested_version.lock().expect("the lock is not poisoned")
     }
 
     fn check_fault(&self) -> Result<StoreFault> {
         match *self.fault.lock().expect("the lock is not poisoned") {
-            StoreFault::Silent => Err(Error::unknown("store", "silent")),
+            StoreFault::Unresponsive => Err(Error::unknown("store", "silent")),
             StoreFault::Busy => Err(Error::busy("store", "busy")),
             other => Ok(other),
         }
@@ -143,7 +143,7 @@
 
     fn respond<T>(fault: StoreFault, value: T) -> Result<T> {
         match fault {
-            StoreFault::LosesAnswers => Err(Error::unknown("store", "no response")),
+            StoreFault::LosesResponses => Err(Error::unknown("store", "no response")),
             _ => Ok(value),
         }
     }
@@ -151,7 +151,7 @@
 
 impl Store for StoreClient {
     fn targets(&self, within: Duration) -> Result<(Vec<Target>, u64)> {
-        self.read_within.lock().expect("the lock is not poisoned").push(within);
+        self.read_timeouts.lock().expect("the lock is not poisoned").push(within);
         *self.list_calls.lock().expect("the lock is not poisoned") += 1;
         let fault = self.check_fault()?;
         let list = self.store.list.lock().expect("the lock is not poisoned").clone();
@@ -159,7 +159,7 @@
     }
 
     fn target_changes(&self, version: u64) -> Result<TargetListUpdate> {
-        *self.followed_from.lock().expect("the lock is not poisoned") = version;
+        *self.last_requested_version.lock().expect("the lock is not poisoned") = version;
         *self.list_calls.lock().expect("the lock is not poisoned") += 1;
         let fault = self.check_fault()?;
         let next = self.store.updates.lock().expect("the lock is not poisoned").pop_front();
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -47,9 +47,9 @@
     /// The same faults of the planner.
     pub(crate) planner: f64,
     /// Simultaneous restarts of all daemons.
-    pub(crate) herds: f64,
+    pub(crate) full_restarts: f64,
     /// Store outages of some seconds for all daemons.
-    pub(crate) store: f64,
+    pub(crate) store_outages: f64,
     /// The share of datagrams that are lost, and the bound on their random extra delay in
     /// milliseconds.
     pub(crate) loss: f64,
@@ -70,16 +70,16 @@
 /// The results of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     /// Requests with valid keys at undisturbed daemons, and those refused for their key.
-    pub(crate) keyed: usize,
+    pub(crate) with_valid_key: usize,
     pub(crate) key_refused: usize,
     /// Requests within their quota at undisturbed daemons, of all teams but the hot one, and those
     /// of them that were refused.
-    pub(crate) within: usize,
+    pub(crate) within_quota: usize,
     pub(crate) quota_refused: usize,
     /// The highest use of a window, as a share of its limit.
-    pub(crate) fullest: f64,
+    pub(crate) max_window_use: f64,
 }
 
 /// A key, and when it was added and removed.
@@ -147,7 +147,7 @@
             overshoot: OVERSHOOT,
             slack: SLACK,
         };
-        let now = network.clock_now();
+        let now = network.now();
         let ledger = |rate: &f64| Ledger {
             rate: *rate,
             former_rate: (0.0, now),
@@ -191,7 +191,7 @@
     }
 
     fn now(&self) -> Time {
-        self.network.clock_now()
+        self.network.now()
     }
 
     fn occurs(&mut self, per_s: f64) -> bool {
@@ -218,7 +218,7 @@
         let teams = Teams::new((0..TEAMS).map(entry).collect()).expect("the teams are valid");
         let catalog = Catalog::new(self.version, Vec::new(), Vec::new()).with_teams(Some(teams));
         self.version += 1;
-        self.network.table.configure(catalog);
+        self.network.store.configure(catalog);
     }
 
     fn apply_operator_actions(&mut self) {
@@ -265,10 +265,10 @@
         {
             self.disturb_daemon(n);
         }
-        if self.occurs(self.faults.herds) {
+        if self.occurs(self.faults.full_restarts) {
             self.daemon_faults.restart_all(&mut self.network);
         }
-        if self.occurs(self.faults.store) {
+        if self.occurs(self.faults.store_outages) {
             self.store_unavailable_until =
                 now + Duration::from_millis(self.rng.random_range(1_000..7_000));
             (0..all).for_each(|n| {
@@ -327,14 +327,14 @@
             RequestCredentials { key: Some(text), arrived: now, version: catalog.version };
         let identified = access::identify(teams, credentials, &view, &state.access.view).map(drop);
         let is_fault_free = self.is_fault_free();
-        let broken = &mut self.outcome.broken;
+        let violations = &mut self.outcome.violations;
         if let Some(removed) = removed {
             let since = now.since(*removed);
             if identified.is_ok() && since > REVOKE_WITHIN {
-                broken.push(format!("{text} was accepted {since:?} after its removal"));
+                violations.push(format!("{text} was accepted {since:?} after its removal"));
             }
             if identified.is_ok() && is_fault_free && since > REVOKE_WITHIN_FAULT_FREE {
-                broken.push(format!(
+                violations.push(format!(
                     "{text} was accepted {since:?} after its removal, without faults"
                 ));
             }
@@ -342,18 +342,18 @@
         }
         let is_old = now.since(*added) > CONFIG_WITHIN;
         if must_meet_bounds && is_old {
-            self.outcome.keyed += 1;
+            self.outcome.with_valid_key += 1;
             self.outcome.key_refused += usize::from(identified.is_err());
             if identified == Err(Denied::UnknownKey) {
-                broken.push(format!("{text} is refused as unknown"));
+                violations.push(format!("{text} is refused as unknown"));
             }
         }
         identified.is_ok()
     }
 
     fn is_fault_free(&self) -> bool {
-        let Faults { daemons, planner, herds, store, loss, .. } = self.faults;
-        daemons + planner + herds + store + loss == 0.0
+        let Faults { daemons, planner, full_restarts, store_outages, loss, .. } = self.faults;
+        daemons + planner + full_restarts + store_outages + loss == 0.0
     }
 
     fn request_quota_units(&mut self, daemon: usize, team: usize, now: Time) {
@@ -465,7 +465,7 @@
     fn count_within(&mut self, w: &Waiting, is_refused: bool) {
         let is_hot = self.actions.hot.is_some_and(|(hot, _)| hot == w.team);
         if self.must_meet_bounds(w.daemon, w.arrived) && w.has_room && !is_hot {
-            self.outcome.within += 1;
+            self.outcome.within_quota += 1;
             self.outcome.quota_refused += usize::from(is_refused);
         }
     }
@@ -479,10 +479,10 @@
         self.count_within(w, false);
         let now = self.now();
         let fullest = self.ledgers[w.team].admit(w.arrived, w.units, now);
-        self.outcome.fullest = self.outcome.fullest.max(fullest);
+        self.outcome.max_window_use = self.outcome.max_window_use.max(fullest);
         if fullest > 1.0 {
             let what = format!("team {} used {fullest:.2} of what a window allows", w.team);
-            self.outcome.broken.push(what);
+            self.outcome.violations.push(what);
         }
     }
 }
--- a/crates/tansyknot-fleet/tests/task.rs
+++ b/crates/tansyknot-fleet/tests/task.rs
@@ -7,7 +7,7 @@
 use support::{
     Daemon,
     engine::{FakeTarget, OrderFault},
-    held,
+    loaded_model,
     store::FakeStore,
     target,
 };
@@ -36,9 +36,9 @@
     let clock = ManualClock::new();
     let store = FakeStore::new();
     let daemon = Daemon::new("a", &store, &clock);
-    daemon.keep();
+    daemon.maintain_lease();
     let target = target("t", &["m0", "m1", "m2"], &["m3"]);
-    let fake = FakeTarget::listed(&daemon.state, &target);
+    let fake = FakeTarget::in_list(&daemon.state, &target);
     let runner = TaskRunner {
         state: Arc::clone(&daemon.state),
         keeper: Arc::clone(&daemon.keeper),
@@ -56,7 +56,7 @@
     /// Renews the lease, as the daemon's own thread does between tasks.
     fn renew(&self) {
         self.clock.advance(Duration::from_secs(1));
-        self.daemon.keep();
+        self.daemon.maintain_lease();
     }
 }
 
@@ -83,10 +83,10 @@
 
 #[parameterized(
     order_lost = { &[OrderFault::Lost] },
-    answer_lost = { &[OrderFault::AnswerLost] },
-    late = { &[OrderFault::Late] },
+    answer_lost = { &[OrderFault::ResponseLost] },
+    late = { &[OrderFault::Delayed] },
     second_order_lost = { &[OrderFault::Busy, OrderFault::Lost] },
-    second_answer_lost = { &[OrderFault::Busy, OrderFault::AnswerLost] },
+    second_answer_lost = { &[OrderFault::Busy, OrderFault::ResponseLost] },
     busy = { &[OrderFault::Busy, OrderFault::Busy, OrderFault::Busy] },
 )]
 fn engine_never_holds_more_than_it_has_room_for(faults: &[OrderFault]) {
@@ -101,7 +101,7 @@
         let (out, into) =
             if view.holds(&ModelName::from("m3"), None) { ("m3", "m1") } else { ("m1", "m3") };
         rig.runner.run(&swap_task(&view, out, into));
-        assert!(rig.fake.engine().most_models <= 3, "{:?}", rig.fake.models());
+        assert!(rig.fake.engine().max_models <= 3, "{:?}", rig.fake.models());
     }
     assert!(rig.fake.models().len() <= 3);
 }
@@ -109,13 +109,17 @@
 #[test]
 fn late_order_after_a_newer_one_is_void() {
     let rig = rig();
-    rig.fake.engine().faults.extend([OrderFault::Late, OrderFault::Late, OrderFault::Late]);
+    rig.fake.engine().faults.extend([
+        OrderFault::Delayed,
+        OrderFault::Delayed,
+        OrderFault::Delayed,
+    ]);
     assert_ne!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Done);
     rig.renew();
     let found = rig.daemon.state.fleet().target(&rig.target.name).cloned();
     let view = found.expect("the target is in the view");
     rig.runner.run(&swap_task(&view, "m0", "m3"));
-    assert!(rig.fake.engine().most_models <= 3);
+    assert!(rig.fake.engine().max_models <= 3);
 }
 
 #[test]
@@ -143,12 +147,13 @@
     let rig = rig();
     {
         let mut engine = rig.fake.engine();
-        engine.models = vec![held("m0", &[]), held("m5", &[]), held("m6", &[])];
+        engine.models =
+            vec![loaded_model("m0", &[]), loaded_model("m5", &[]), loaded_model("m6", &[])];
         engine.orders = 7;
     }
     assert_eq!(rig.runner.run(&swap_task(&rig.target, "m1", "m3")), TaskOutcome::Replan);
     assert_eq!(rig.fake.models(), ["m0", "m5", "m6"]);
-    assert_eq!(rig.fake.engine().most_models, 3);
+    assert_eq!(rig.fake.engine().max_models, 3);
 }
 
 #[test]
@@ -183,12 +188,12 @@
 #[test]
 fn target_that_has_started_again_is_planned_with_anew() {
     let rig = rig();
-    rig.fake.engine().born = Some(StartTime(100));
+    rig.fake.engine().started_at = Some(StartTime(100));
     let target = Target { started_at: Some(StartTime(100)), ..rig.target.clone() };
     assert_eq!(rig.runner.run(&swap_task(&target, "m1", "m3")), TaskOutcome::Done);
     {
         let mut engine = rig.fake.engine();
-        (engine.born, engine.orders) = (Some(StartTime(200)), 0);
+        (engine.started_at, engine.orders) = (Some(StartTime(200)), 0);
         engine.models.clear();
     }
     rig.renew();
--- a/crates/tansyknot-fleet/tests/teams.rs
+++ b/crates/tansyknot-fleet/tests/teams.rs
@@ -14,12 +14,18 @@
 const DURATION: Duration = Duration::from_secs(40);
 const SHORT_DURATION: Duration = Duration::from_secs(12);
 
-const CALM: Faults =
-    Faults { daemons: 0.0, planner: 0.0, herds: 0.0, store: 0.0, loss: 0.0, jitter: 2 };
+const CALM: Faults = Faults {
+    daemons: 0.0,
+    planner: 0.0,
+    full_restarts: 0.0,
+    store_outages: 0.0,
+    loss: 0.0,
+    jitter: 2,
+};
 const PLANNERS: Faults = Faults { planner: 0.15, ..CALM };
 const DAEMONS: Faults = Faults { daemons: 0.5, planner: 0.1, loss: 0.05, jitter: 60, ..CALM };
-const HERDS: Faults = Faults { herds: 0.08, ..DAEMONS };
-const STORE: Faults = Faults { store: 0.08, ..DAEMONS };
+const FULL_RESTARTS: Faults = Faults { full_restarts: 0.08, ..DAEMONS };
+const STORE: Faults = Faults { store_outages: 0.08, ..DAEMONS };
 
 const KEYS: Actions = Actions { keys: 0.5, quotas: 0.0, hot: None };
 const QUOTAS: Actions = Actions { keys: 0.1, quotas: 0.1, hot: None };
@@ -41,20 +47,24 @@
     let mut all = Outcome::default();
     for seed in support::seeds("TEAMS_SEEDS", default_seeds) {
         let outcome = TeamSimulation::new(seed, daemons, faults, actions).run(duration);
-        all.broken.extend(
-            outcome.broken.iter().take(3).map(|violation| format!("seed {seed}: {violation}")),
+        all.violations.extend(
+            outcome.violations.iter().take(3).map(|violation| format!("seed {seed}: {violation}")),
         );
-        all.keyed += outcome.keyed;
+        all.with_valid_key += outcome.with_valid_key;
         all.key_refused += outcome.key_refused;
-        all.within += outcome.within;
+        all.within_quota += outcome.within_quota;
         all.quota_refused += outcome.quota_refused;
-        all.fullest = all.fullest.max(outcome.fullest);
+        all.max_window_use = all.max_window_use.max(outcome.max_window_use);
     }
     println!(
         "{} of {} good keys refused; {} of {} within quotas refused; fullest window {:.2}",
-        all.key_refused, all.keyed, all.quota_refused, all.within, all.fullest
+        all.key_refused,
+        all.with_valid_key,
+        all.quota_refused,
+        all.within_quota,
+        all.max_window_use
     );
-    assert!(all.broken.is_empty(), "{}:\n{}", all.broken.len(), all.broken.join("\n"));
+    assert!(all.violations.is_empty(), "{}:\n{}", all.violations.len(), all.violations.join("\n"));
     all
 }
 
@@ -62,18 +72,18 @@
     keys_calm = { CALM, KEYS },
     keys_planners = { PLANNERS, KEYS },
     keys_daemons = { DAEMONS, KEYS },
-    keys_herds = { HERDS, KEYS },
+    keys_herds = { FULL_RESTARTS, KEYS },
     keys_store = { STORE, KEYS },
     quotas_calm = { CALM, QUOTAS },
     quotas_planners = { PLANNERS, QUOTAS },
     quotas_daemons = { DAEMONS, QUOTAS },
-    quotas_herds = { HERDS, QUOTAS },
+    quotas_herds = { FULL_RESTARTS, QUOTAS },
     quotas_store = { STORE, QUOTAS },
     hot_planners = { PLANNERS, HOT },
     hot_daemons = { DAEMONS, HOT },
-    hot_herds = { HERDS, HOT },
+    hot_herds = { FULL_RESTARTS, HOT },
     hot_small_planners = { PLANNERS, HOT_SMALL },
-    hot_small_herds = { HERDS, HOT_SMALL },
+    hot_small_herds = { FULL_RESTARTS, HOT_SMALL },
 )]
 fn keys_and_quotas_hold_whatever_happens(faults: Faults, actions: Actions) {
     search(2, SMALL_SITE, faults, actions, DURATION);
@@ -94,9 +104,9 @@
 )]
 fn what_a_quota_has_room_for_is_taken_where_nothing_fails(actions: Actions, max_refused: f64) {
     let outcome = search(2, LARGE_SITE, CALM, actions, SHORT_DURATION);
-    let share = outcome.quota_refused as f64 / outcome.within as f64;
+    let share = outcome.quota_refused as f64 / outcome.within_quota as f64;
     assert!(share <= max_refused, "{share:.4} of the requests refused");
-    assert_eq!(outcome.key_refused, 0, "good keys refused, of {}", outcome.keyed);
+    assert_eq!(outcome.key_refused, 0, "good keys refused, of {}", outcome.with_valid_key);
 }
 
 // Guards against a quota that is lent more than once. A team sends 7.5 times its usual requests to 71
@@ -107,5 +117,9 @@
 #[test]
 fn quota_holds_while_daemons_fail_and_a_team_is_hot() {
     let outcome = TeamSimulation::new(8, LARGE_SITE, DAEMONS, HOT).run(SHORT_DURATION);
-    assert!(outcome.fullest <= 1.0, "a window had {:.3} of its quota", outcome.fullest);
+    assert!(
+        outcome.max_window_use <= 1.0,
+        "a window had {:.3} of its quota",
+        outcome.max_window_use
+    );
 }
--- a/crates/tansyknot-fleet/tests/versions.rs
+++ b/crates/tansyknot-fleet/tests/versions.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use support::{held, target};
+use support::{loaded_model, target};
 use tansyknot_core::{
     clock::Time,
     name::{TargetName, ZoneName},
@@ -91,7 +91,7 @@
         started_at: None,
         revision: 1,
         state: TargetState::Draining,
-        models: vec![held("m0", &[])],
+        models: vec![loaded_model("m0", &[])],
     };
     fleet.apply_override(&target_override, FENCE, at(10));
     assert!(!accepts_work(&fleet, "t1", at(10)));
--- a/crates/tansyknot-fleet/tests/view.rs
+++ b/crates/tansyknot-fleet/tests/view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rand::{SeedableRng, rngs::StdRng};
-use support::{held, target};
+use support::{loaded_model, target};
 use tansyknot_core::{
     clock::Time,
     name::{AdapterName, ModelName, ServiceName, TargetName, ZoneName},
@@ -79,7 +79,7 @@
         started_at: None,
         revision,
         state: TargetState::Ready,
-        models: models.iter().map(|m| held(m, &[])).collect(),
+        models: models.iter().map(|m| loaded_model(m, &[])).collect(),
     }
 }
 
