--- a/crates/tansyknot-control/src/pools.rs
+++ b/crates/tansyknot-control/src/pools.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalDemand {
     /// The numbers of waiting requests and of requests in flight.
-    pub waiting: ServiceDemand,
+    pub requests: ServiceDemand,
     /// The exponential moving average of service times.
     pub service_time: Duration,
     /// The duration of the last load.
@@ -262,7 +262,7 @@
         let Some(entry) = self.entry(service) else { return LocalDemand::default() };
         let entry = entry.lock().expect("no holder of the lock panics");
         LocalDemand {
-            waiting: ServiceDemand {
+            requests: ServiceDemand {
                 waiting: u32::try_from(entry.pool.waiting()).unwrap_or(u32::MAX),
                 in_flight: entry.pool.in_flight(),
             },
--- a/crates/tansyknot-control/src/reconcile.rs
+++ b/crates/tansyknot-control/src/reconcile.rs
@@ -245,7 +245,7 @@
 
     /// Returns the delay until the next step if no message arrives before.
     fn next_step_delay(&self, service: &ServiceName, state: &mut ServiceState) -> Duration {
-        let has_waiting = self.parts.pools.demand(service).waiting.waiting > 0;
+        let has_waiting = self.parts.pools.demand(service).requests.waiting > 0;
         let is_coordinator = self.parts.peers.is_coordinator(service);
         if !state.work.is_empty() || (has_waiting && is_coordinator) {
             state.row_poll_interval = MIN_ROW_POLL_INTERVAL;
@@ -298,7 +298,7 @@
         now: Time,
     ) -> Result<Versioned<ReplicaRow>> {
         let is_idle =
-            state.work.is_empty() && state.watches.is_empty() && local.waiting.waiting == 0;
+            state.work.is_empty() && state.watches.is_empty() && local.requests.waiting == 0;
         if is_idle
             && !self.parts.directory.needs_read(service, now)
             && let Some(cached) = self.parts.directory.versioned(service)
@@ -321,15 +321,15 @@
         if let Some(last) = local.last_use {
             self.usage.record(service, last);
         }
-        if local.waiting.in_flight > 0 || local.waiting.waiting > 0 {
+        if local.requests.in_flight > 0 || local.requests.waiting > 0 {
             self.usage.record(service, now);
         }
-        if local.waiting.waiting == 0 {
+        if local.requests.waiting == 0 {
             state.waiting_since = None;
         } else {
             state.waiting_since.get_or_insert(now);
             if !self.parts.peers.is_coordinator(service) {
-                self.parts.peers.report_demand(service, local.waiting);
+                self.parts.peers.report_demand(service, local.requests);
             }
         }
         local
@@ -355,7 +355,7 @@
         now: Time,
     ) -> Demand {
         let mut remote_demand = self.remote_demand.lock().expect("no holder of the lock panics");
-        let mut total = local.waiting;
+        let mut total = local.requests;
         if let Some(peers) = remote_demand.get_mut(service) {
             peers.retain(|_, (_, at)| now.since(*at) < REMOTE_DEMAND_LIFETIME);
             for (waiting, _) in peers.values() {
--- a/crates/tansyknot-control/src/reconcile/due.rs
+++ b/crates/tansyknot-control/src/reconcile/due.rs
@@ -88,10 +88,10 @@
             return false;
         }
         let local = self.parts.pools.demand(service);
-        let stale = local.waiting != ServiceDemand::default()
+        let stale = local.requests != ServiceDemand::default()
             && self.parts.directory.needs_read(service, now);
         stale
-            || local.waiting.waiting > 0
+            || local.requests.waiting > 0
             || !state.work.is_empty()
             || self.parts.peers.is_coordinator(service)
     }
--- a/crates/tansyknot-control/src/reconcile/report.rs
+++ b/crates/tansyknot-control/src/reconcile/report.rs
@@ -21,7 +21,7 @@
         for service in self.parts.pools.services() {
             let local = self.parts.pools.demand(&service);
             let Some(last) = local.last_use else { continue };
-            let in_flight = local.waiting.in_flight;
+            let in_flight = local.requests.in_flight;
             let since_last_use = if in_flight > 0 { Duration::ZERO } else { now.since(last) };
             if since_last_use >= REPORT_WINDOW {
                 continue;
--- a/crates/tansyknot-control/src/reconcile/reserve.rs
+++ b/crates/tansyknot-control/src/reconcile/reserve.rs
@@ -82,7 +82,7 @@
         }
         let need = need(&replicas.row, model_config, &candidates);
         let places: Vec<PlacementCandidate> = candidates.iter().map(|c| c.place(service)).collect();
-        let Some(best) = self.parts.placement.order(&need, &places).first().copied() else {
+        let Some(best) = self.parts.placement.rank(&need, &places).first().copied() else {
             return Ok(ReserveOutcome::NoRoom);
         };
         self.reserve_at(service, state, replicas, model_config, &candidates[best])
@@ -101,7 +101,7 @@
         Ok(Staging {
             nearest: places.iter().map(|p| p.tier).min().unwrap_or(Tier::Remote),
             loading: places.iter().map(|p| p.loading).sum(),
-            has_room: !self.parts.placement.order(&need, &places).is_empty(),
+            has_room: !self.parts.placement.rank(&need, &places).is_empty(),
         })
     }
 
--- a/crates/tansyknot-control/src/reconcile/scale.rs
+++ b/crates/tansyknot-control/src/reconcile/scale.rs
@@ -85,7 +85,7 @@
             }
             ReserveOutcome::Conflicted => Ok(()),
             ReserveOutcome::NoRoom if demand.waiting > 0 => {
-                if !self.make_room(service, model_config)? && replicas.row.slots.is_empty() {
+                if !self.evict_for(service, model_config)? && replicas.row.slots.is_empty() {
                     event::NO_PLACE.emit(&[("service", service)]);
                     self.refuse(service, Reason::NoCapacity, "no target has memory left");
                 }
@@ -208,10 +208,10 @@
         (now.since(usage.last_used), plan)
     }
 
-    /// Makes room for a replica of `service`: evicts a replica of the other service that has been
-    /// idle for the longest time, at least for its minimum retention. Returns whether memory is
-    /// being freed.
-    fn make_room(&self, service: &ServiceName, model_config: &ModelConfig) -> Result<bool> {
+    /// Frees memory for a replica of `service` by evicting the replica of another service that has
+    /// been idle for the longest time, at least for its minimum retention. Returns whether memory
+    /// is being freed.
+    fn evict_for(&self, service: &ServiceName, model_config: &ModelConfig) -> Result<bool> {
         let now = self.parts.clock.now();
         let allowed = self.parts.hosts.select(&model_config.rule.targets);
         let is_allowed = |slot: &Slot| allowed.iter().any(|t| t.name == slot.target);
@@ -247,7 +247,7 @@
         now: Time,
     ) -> Option<Duration> {
         let model_config = self.model_config(service)?;
-        let local = self.parts.pools.demand(service).waiting;
+        let local = self.parts.pools.demand(service).requests;
         if local.waiting > 0 || local.in_flight > 0 {
             return None;
         }
--- a/crates/tansyknot-control/tests/replicas.rs
+++ b/crates/tansyknot-control/tests/replicas.rs
@@ -397,7 +397,7 @@
     daemon.config.follow(&daemon.table).expect("the table is up");
     let _ = daemon.request(&world, "permit");
     daemon.step("permit").expect("the table is up");
-    assert_eq!(daemon.pools.demand(&ServiceName::from("permit")).waiting.waiting, 1);
+    assert_eq!(daemon.pools.demand(&ServiceName::from("permit")).requests.waiting, 1);
     run(&world, &[daemon], "permit", 8);
     assert_eq!(world.slot_states("permit"), [SlotState::Ready]);
 }
--- a/crates/tansyknot-edge/src/gateway/attempts.rs
+++ b/crates/tansyknot-edge/src/gateway/attempts.rs
@@ -18,7 +18,7 @@
         admit::Permit,
         attempt::{self, Attempt, Failure},
         identify::{IdentifiedRequest, ServiceKind},
-        place::{Placement, Placer},
+        place::{InFlightGuard, Placer},
     },
     upstream::AttemptHandle,
 };
@@ -67,7 +67,7 @@
     ) -> Result<CallerResponse, Refusal> {
         let mut attempts = AttemptHistory::default();
         loop {
-            let mut placement = self
+            let mut guard = self
                 .place(active, req, &attempts.avoid)
                 .map_err(|r| attempts.correct_outcome(r))?;
             if key.is_none()
@@ -76,20 +76,20 @@
                 return Ok(CallerResponse::Pending(replay));
             }
             let started_at = self.now();
-            let target = placement.target.clone();
+            let target = guard.target.clone();
             let outcome =
                 self.attempt(active, req, &target).map_err(|r| attempts.correct_outcome(r))?;
             let failure = match outcome {
                 AttemptOutcome::Responded(response) => {
                     if !matches!(response, CallerResponse::Partial(_)) {
-                        placement.set_response_time(self.now().since(started_at));
+                        guard.set_response_time(self.now().since(started_at));
                         self.target_budget(&target, RetryBudget::record_success);
                     }
                     return Ok(response);
                 }
                 AttemptOutcome::Failed(failure) => failure,
             };
-            drop(placement);
+            drop(guard);
             self.record_failure(active, req, &target, failure);
             attempts.record(&target, failure);
             if !self.may_retry(req, permit, &target, failure, &attempts) {
@@ -103,7 +103,7 @@
         active: &mut ActiveRequest<'_>,
         req: &IdentifiedRequest,
         avoid: &[TargetName],
-    ) -> Result<Placement<'_>, Refusal> {
+    ) -> Result<InFlightGuard<'_>, Refusal> {
         let _span = Span::enter_with_parent("place", &active.span);
         let placer = Placer {
             pools: &self.parts.pools,
@@ -112,14 +112,14 @@
             zone: &self.options.zone,
             max_waiting: self.options.max_waiting,
         };
-        let placement = placer.place(req, avoid, active.stream)?;
+        let guard = placer.place(req, avoid, active.stream)?;
         let now = self.now();
-        if placement.queued {
+        if guard.queued {
             active.account.queued = true;
             active.account.trail.add(now, Decision::Queued);
         }
-        active.account.trail.add(now, Decision::Placed(placement.target.clone()));
-        Ok(placement)
+        active.account.trail.add(now, Decision::Placed(guard.target.clone()));
+        Ok(guard)
     }
 
     fn attempt(
--- a/crates/tansyknot-edge/src/stage/place.rs
+++ b/crates/tansyknot-edge/src/stage/place.rs
@@ -38,7 +38,7 @@
 }
 
 /// A request that is counted as in flight at a target until this value is dropped.
-pub struct Placement<'a> {
+pub struct InFlightGuard<'a> {
     pools: &'a Pools,
     service: ServiceName,
     /// The target.
@@ -48,14 +48,14 @@
     response_time: Option<Duration>,
 }
 
-impl Placement<'_> {
+impl InFlightGuard<'_> {
     /// Sets the duration of the full response, from which waiting times are estimated.
     pub fn set_response_time(&mut self, response_time: Duration) {
         self.response_time = Some(response_time);
     }
 }
 
-impl Drop for Placement<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.pools.release(&self.service, &self.target, self.response_time);
     }
@@ -72,7 +72,7 @@
         req: &IdentifiedRequest,
         avoid: &[TargetName],
         caller: &TcpStream,
-    ) -> Result<Placement<'a>, Refusal> {
+    ) -> Result<InFlightGuard<'a>, Refusal> {
         let acquire_request = AcquireRequest {
             service: &req.service,
             waiter: Waiter { rank: req.rank(), deadline: req.deadline },
@@ -85,7 +85,7 @@
             self.publisher.publish(&req.service);
         }
         match self.pools.acquire(&acquire_request, options) {
-            AcquireOutcome::Granted(target) => Ok(self.placement(req, target, false)),
+            AcquireOutcome::Granted(target) => Ok(self.guard(req, target, false)),
             AcquireOutcome::Refused(refusal) => Err(refusal),
             AcquireOutcome::Queued(ticket, rx) => self.wait(req, ticket, &rx, caller),
         }
@@ -97,10 +97,10 @@
         ticket: Ticket,
         rx: &Receiver<WaitOutcome>,
         caller: &TcpStream,
-    ) -> Result<Placement<'a>, Refusal> {
+    ) -> Result<InFlightGuard<'a>, Refusal> {
         loop {
             match self.pools.wait(rx, CALLER_POLL_INTERVAL) {
-                Some(WaitOutcome::Granted(target)) => return Ok(self.placement(req, target, true)),
+                Some(WaitOutcome::Granted(target)) => return Ok(self.guard(req, target, true)),
                 Some(WaitOutcome::Refused(refusal)) => return Err(refusal),
                 None if disconnect::has_disconnected(caller) => {
                     self.pools.abandon(&req.service, ticket, rx);
@@ -117,13 +117,13 @@
         }
     }
 
-    fn placement(
+    fn guard(
         &self,
         req: &IdentifiedRequest,
         target: TargetName,
         queued: bool,
-    ) -> Placement<'a> {
-        Placement {
+    ) -> InFlightGuard<'a> {
+        InFlightGuard {
             pools: self.pools,
             service: req.service.clone(),
             target,
--- a/crates/tansyknot-gossip/src/members.rs
+++ b/crates/tansyknot-gossip/src/members.rs
@@ -193,7 +193,7 @@
                 let message = Message::Ping { seq: ping_seq, updates: self.next_updates() };
                 vec![Outgoing { to: address, message }]
             }
-            Message::Wake { .. } | Message::Used { .. } | Message::Changed { .. } => Vec::new(),
+            Message::Demand { .. } | Message::Use { .. } | Message::RowChanged { .. } => Vec::new(),
         }
     }
 
--- a/crates/tansyknot-gossip/src/message.rs
+++ b/crates/tansyknot-gossip/src/message.rs
@@ -78,7 +78,7 @@
         updates: Vec<MemberUpdate>,
     },
     /// The sender has requests waiting for a service that the receiver coordinates.
-    Wake {
+    Demand {
         /// The service.
         service: ServiceName,
         /// Waiting requests.
@@ -87,12 +87,12 @@
         in_flight: u32,
     },
     /// The sender has used services that the receiver coordinates.
-    Used {
+    Use {
         /// The uses.
         uses: Vec<UseEntry>,
     },
     /// The replica row of a service has changed.
-    Changed {
+    RowChanged {
         /// The service.
         service: ServiceName,
     },
--- a/crates/tansyknot-gossip/src/node.rs
+++ b/crates/tansyknot-gossip/src/node.rs
@@ -175,19 +175,19 @@
         };
         self.received.fetch_add(1, Ordering::Relaxed);
         match envelope.message {
-            Message::Wake { service, waiting, in_flight } => {
+            Message::Demand { service, waiting, in_flight } => {
                 self.record_interest(&service, &envelope.from);
                 let waiting = ServiceDemand { waiting, in_flight };
                 self.notify_listener(|l| l.receive_demand(&service, &envelope.from, waiting));
             }
-            Message::Used { uses } => {
+            Message::Use { uses } => {
                 let uses = uses.into_iter().map(service_use).collect::<Vec<_>>();
                 for used in &uses {
                     self.record_interest(&used.service, &envelope.from);
                 }
                 self.notify_listener(|l| l.receive_use(&envelope.from, &uses));
             }
-            Message::Changed { service } => self.notify_listener(|l| l.receive_change(&service)),
+            Message::RowChanged { service } => self.notify_listener(|l| l.receive_change(&service)),
             other => {
                 let now = self.clock.now();
                 let out = {
@@ -252,7 +252,7 @@
 
     fn report_demand(&self, service: &ServiceName, waiting: ServiceDemand) {
         let Some((_, to)) = self.coordinator(service) else { return };
-        let message = Message::Wake {
+        let message = Message::Demand {
             service: service.clone(),
             waiting: waiting.waiting,
             in_flight: waiting.in_flight,
@@ -269,7 +269,7 @@
         }
         for (to, entries) in by_daemon {
             for chunk in entries.chunks(MAX_USES_PER_DATAGRAM) {
-                self.send(to, Message::Used { uses: chunk.to_vec() });
+                self.send(to, Message::Use { uses: chunk.to_vec() });
             }
         }
     }
@@ -289,7 +289,7 @@
         addresses.sort();
         addresses.dedup();
         for to in addresses {
-            self.send(to, Message::Changed { service: service.clone() });
+            self.send(to, Message::RowChanged { service: service.clone() });
         }
     }
 }
--- a/crates/tansyknot-gossip/tests/members.rs
+++ b/crates/tansyknot-gossip/tests/members.rs
@@ -178,13 +178,14 @@
         ago_ms: u32::MAX,
         in_flight: u32::MAX,
     };
-    let uses = Message::Used { uses: (0..9).map(|_| entry()).collect() };
+    let uses = Message::Use { uses: (0..9).map(|_| entry()).collect() };
     assert!(message::encode(&envelope(uses)).is_ok());
 }
 
 #[test]
 fn datagrams_of_another_kind_are_dropped() {
-    let good = message::encode(&envelope(Message::Changed { service: "s".into() })).expect("short");
+    let good =
+        message::encode(&envelope(Message::RowChanged { service: "s".into() })).expect("short");
     assert!(message::decode(&good).is_ok());
     let mut version = good.clone();
     version[1] = 9;
--- a/crates/tansyknot-http/src/server.rs
+++ b/crates/tansyknot-http/src/server.rs
@@ -30,7 +30,7 @@
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// The same interval for connections that are served while the daemon drains. It is longer because
 /// each check wakes a thread.
-const KEPT_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time for which the remaining bytes of a refused request are discarded, so that the sender
 /// receives the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
@@ -306,7 +306,7 @@
         }
         rx.set_deadline(match options.on_drain {
             DrainBehaviour::CloseIdle => IDLE_CHECK_INTERVAL,
-            DrainBehaviour::ServeIdle => KEPT_CHECK_INTERVAL,
+            DrainBehaviour::ServeIdle => DRAIN_CHECK_INTERVAL,
         });
         match rx.fill() {
             Ok(0) => return Ok(false),
--- a/crates/tansyknot-policy/examples/replay/simulation/loads.rs
+++ b/crates/tansyknot-policy/examples/replay/simulation/loads.rs
@@ -115,7 +115,7 @@
                 in_flight: 0,
             })
             .collect();
-        NearestCheckpoint.order(&need, &places).first().copied()
+        NearestCheckpoint.rank(&need, &places).first().copied()
     }
 
     /// Evicts the replica that has been idle longest and returns its host.
--- a/crates/tansyknot-policy/src/placement.rs
+++ b/crates/tansyknot-policy/src/placement.rs
@@ -37,7 +37,7 @@
 /// Ranks the allowed targets for a replica.
 pub trait Placement: Send + Sync {
     /// Returns the indices of the `places` that fit, best first.
-    fn order(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize>;
+    fn rank(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize>;
 }
 
 /// Ranks the targets that fit: those without a running load first, then by nearer checkpoint, zone
@@ -46,7 +46,7 @@
 pub struct NearestCheckpoint;
 
 impl Placement for NearestCheckpoint {
-    fn order(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize> {
+    fn rank(&self, need: &PlacementRequirements, places: &[PlacementCandidate]) -> Vec<usize> {
         let fits = |p: &PlacementCandidate| {
             p.free_bytes >= need.memory_bytes && !need.occupied_targets.contains(&p.target)
         };
--- a/crates/tansyknot-policy/tests/decisions.rs
+++ b/crates/tansyknot-policy/tests/decisions.rs
@@ -94,7 +94,7 @@
         occupied_zones: vec![ZoneName::from("z1")],
         occupied_targets: vec![TargetName::from("taken")],
     };
-    let order = NearestCheckpoint.order(&need, &places);
+    let order = NearestCheckpoint.rank(&need, &places);
     assert_eq!(places[order[0]].target.as_str(), expected);
 }
 
--- a/crates/tansyknot-standins/examples/capacity/members.rs
+++ b/crates/tansyknot-standins/examples/capacity/members.rs
@@ -144,8 +144,7 @@
             };
             // With 340 daemons, nearly every service has a different coordinator, so each report is
             // a separate message.
-            (0..n).map(|i| encoded_bytes(Message::Used { uses: vec![entry(i)] })).sum::<u64>()
-                as f64
+            (0..n).map(|i| encoded_bytes(Message::Use { uses: vec![entry(i)] })).sum::<u64>() as f64
         },
     );
 }
--- a/crates/tansyknotd/src/operators.rs
+++ b/crates/tansyknotd/src/operators.rs
@@ -103,7 +103,7 @@
     }
 
     fn service_status(&self, service: ServiceName) -> ServiceStatus {
-        let demand = self.pools.demand(&service).waiting;
+        let demand = self.pools.demand(&service).requests;
         let slots = self.directory.row(&service).map(|row| row.slots).unwrap_or_default();
         ServiceStatus { service, waiting: demand.waiting, in_flight: demand.in_flight, slots }
     }
