--- a/crates/tansyknot-fleet/examples/poison.rs
+++ b/crates/tansyknot-fleet/examples/poison.rs
@@ -32,7 +32,7 @@
         };
         println!("look_up_among_{suspected} {}", nanos(look_up));
         let mut poison = suspecting(suspected, now);
-        let record_answer = |n| poison.answered(RequestKey(n), RunKey(1), now, now);
+        let record_answer = |n| poison.record_answer(RequestKey(n), RunKey(1), now, now);
         println!("answer_among_{suspected} {}", nanos(record_answer));
     }
 }
@@ -47,7 +47,7 @@
     let mut poison = Poison::default();
     for n in 0..requests {
         let run = RunKey(n / 64);
-        poison.cut_off(RequestKey(u128::MAX - u128::from(n)), run, now, now);
+        poison.record_early_close(RequestKey(u128::MAX - u128::from(n)), run, now, now);
         poison.record_check(run, Presence::Ended, now);
     }
     poison
--- a/crates/tansyknot-fleet/src/access/account.rs
+++ b/crates/tansyknot-fleet/src/access/account.rs
@@ -39,7 +39,7 @@
 
 /// The result of taking units from an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WithdrawalOutcome {
     /// The units are taken.
     Taken,
     /// The account has too few units; it should have enough after this time.
@@ -111,22 +111,22 @@
     /// Takes `units`. A request for more than the burst can't accumulate its units, and is granted
     /// once the account is full. A request for more than a whole window yields is never granted:
     /// the team's other requests would be refused until the account has refilled its stated units.
-    pub fn take(&mut self, units: f64, now: Time) -> Outcome {
+    pub fn take(&mut self, units: f64, now: Time) -> WithdrawalOutcome {
         self.drop_old_steps(now);
         if units > self.quota.rate * self.window.as_secs_f64() + self.capacity {
-            return Outcome::Over(MAX_WAIT);
+            return WithdrawalOutcome::Over(MAX_WAIT);
         }
         let lacking = units.min(self.capacity) - self.left(now);
         if lacking <= 0.0 {
             self.charge(units, now);
-            return Outcome::Taken;
+            return WithdrawalOutcome::Taken;
         }
         if now.since(self.opened) < OPENING_PERIOD {
-            return Outcome::Opening;
+            return WithdrawalOutcome::Opening;
         }
         let ahead = self.refuse(units, now);
         let wait = Duration::try_from_secs_f64((lacking + ahead) / self.quota.rate);
-        Outcome::Over(wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
+        WithdrawalOutcome::Over(wait.unwrap_or(MAX_WAIT).min(MAX_WAIT))
     }
 
     /// Records that `units` are refused; returns the recently refused units that are expected to be
--- a/crates/tansyknot-fleet/src/access/lending.rs
+++ b/crates/tansyknot-fleet/src/access/lending.rs
@@ -7,7 +7,7 @@
 
 use super::{
     AccessOptions,
-    account::{Account, Outcome},
+    account::{Account, WithdrawalOutcome},
     message::{LentShare, TeamUse, Verdict},
     share::{SHARE_LIFETIME, UNRESPONSIVE_AFTER},
     team::Teams,
@@ -107,12 +107,12 @@
         }
         let outcome = match self.account(team, teams, options, now) {
             Some(account) => account.take(units, now),
-            None => Outcome::Taken,
+            None => WithdrawalOutcome::Taken,
         };
         let verdict = match outcome {
-            Outcome::Taken => Verdict::Granted,
-            Outcome::Over(wait) => Verdict::Over { wait_ms: wait.as_millis() as u32 },
-            Outcome::Opening => return Verdict::Later,
+            WithdrawalOutcome::Taken => Verdict::Granted,
+            WithdrawalOutcome::Over(wait) => Verdict::Over { wait_ms: wait.as_millis() as u32 },
+            WithdrawalOutcome::Opening => return Verdict::Later,
         };
         let tally = self.tallies.entry(team.clone()).or_default();
         match verdict {
--- a/crates/tansyknot-fleet/src/backpressure.rs
+++ b/crates/tansyknot-fleet/src/backpressure.rs
@@ -103,7 +103,7 @@
 
 /// Whether a target ran the request that it responded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RunOutcome {
     /// The target ran the request.
     Ran,
     /// The target did not run the request.
--- a/crates/tansyknot-fleet/src/backpressure/message.rs
+++ b/crates/tansyknot-fleet/src/backpressure/message.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the response that has these ages at `now`.
-    pub fn answer(self, now: Time) -> ResponseId {
+    pub fn to_response_id(self, now: Time) -> ResponseId {
         let before = |ms: u32| now.saturating_sub(Duration::from_millis(ms.into()));
         let at = Interval { sent: before(self.sent_ms), received: before(self.received_ms) };
         ResponseId { id: self.id, at }
--- a/crates/tansyknot-fleet/src/backpressure/registry.rs
+++ b/crates/tansyknot-fleet/src/backpressure/registry.rs
@@ -10,9 +10,9 @@
 use tansyknot_core::clock::Time;
 
 use super::{
-    Interval, Outcome, Rate, Signals,
+    Interval, Rate, RunOutcome, Signals,
     message::{LimitSummary, RunSummary},
-    run_state::{Availability, Change, RunState},
+    run_state::{Availability, RunState, SignalChange},
 };
 use crate::poison::key::RunKey;
 
@@ -61,9 +61,9 @@
         &mut self,
         run: RunKey,
         signals: &Signals,
-        outcome: Outcome,
+        outcome: RunOutcome,
         at: Interval,
-    ) -> Vec<Change> {
+    ) -> Vec<SignalChange> {
         if *signals == Signals::default() && !self.by_run.contains_key(&run) {
             return Vec::new();
         }
@@ -121,7 +121,7 @@
 
     /// Returns the signals of a run.
     pub fn summary(&self, run: RunKey, now: Time) -> Option<RunSummary> {
-        self.by_run.get(&run).map(|record| record.state.told(run, now))
+        self.by_run.get(&run).map(|record| record.state.summary(run, now))
     }
 
     /// Returns the rate limit of a run, if it names one.
@@ -144,7 +144,7 @@
     /// Records that a request has chosen a run.
     pub fn record_choice(&mut self, run: RunKey, now: Time) {
         if let Some(record) = self.by_run.get_mut(&run) {
-            record.state.sends(now);
+            record.state.record_choice(now);
         }
     }
 
@@ -189,6 +189,6 @@
     let mut records: Vec<(&RunKey, &RunRecord)> = records.collect();
     records.sort_by_key(|(run, record)| (Reverse(record.changed), **run));
     records.truncate(MAX_SUMMARIES);
-    let summaries = records.into_iter().map(|(run, record)| record.state.told(*run, now));
+    let summaries = records.into_iter().map(|(run, record)| record.state.summary(*run, now));
     summaries.filter(|s| s.limit != LimitSummary::Unknown || s.is_leaving).collect()
 }
--- a/crates/tansyknot-fleet/src/backpressure/run_state.rs
+++ b/crates/tansyknot-fleet/src/backpressure/run_state.rs
@@ -5,7 +5,7 @@
 use tansyknot_core::clock::Time;
 
 use super::{
-    Interval, MAX_RETRY_DELAY, Outcome, Rate, ResponseId, Signal, SignalField, Signals,
+    Interval, MAX_RETRY_DELAY, Rate, ResponseId, RunOutcome, Signal, SignalField, Signals,
     message::{LimitSummary, ResponseAges, RunSummary},
 };
 use crate::poison::key::RunKey;
@@ -39,7 +39,7 @@
 
 /// A change of a run's state by a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum SignalChange {
     /// The target limits its rate to this.
     Limited(Rate),
     /// The target no longer has a rate limit.
@@ -87,12 +87,17 @@
 
 impl RunState {
     /// Applies the signals of a response; returns what they change.
-    pub fn apply(&mut self, signals: &Signals, outcome: Outcome, at: Interval) -> Vec<Change> {
+    pub fn apply(
+        &mut self,
+        signals: &Signals,
+        outcome: RunOutcome,
+        at: Interval,
+    ) -> Vec<SignalChange> {
         let mut changes = Vec::new();
         changes.extend(match (signals.limit, outcome) {
             (SignalField::Value(rate), _) => self.apply_limit(rate, at.into()),
-            (SignalField::Absent, Outcome::Ran) => self.apply_no_limit(at.into()),
-            (SignalField::Absent, Outcome::NotRun) | (SignalField::Malformed, _) => None,
+            (SignalField::Absent, RunOutcome::Ran) => self.apply_no_limit(at.into()),
+            (SignalField::Absent, RunOutcome::NotRun) | (SignalField::Malformed, _) => None,
         });
         changes.extend(
             matches!(signals.leaving, SignalField::Value(())).then(|| self.set_leaving()).flatten(),
@@ -108,7 +113,7 @@
 
     /// Applies a limit, unless its response is certainly older than the newest one known. A higher
     /// limit counts only if its response is certainly newer.
-    fn apply_limit(&mut self, rate: Rate, answer: ResponseId) -> Option<Change> {
+    fn apply_limit(&mut self, rate: Rate, answer: ResponseId) -> Option<SignalChange> {
         let current = self.limit;
         let newest = current.map(|current| current.named).or(self.ended);
         let is_repeated = newest.is_some_and(|newest| newest.id == answer.id);
@@ -124,19 +129,19 @@
             current.filter(|current| !is_later(*current)).map_or(answer, |current| current.named);
         self.limit = Some(Limit { rate, named });
         let is_changed = current.is_none_or(|current| current.rate != rate);
-        is_changed.then_some(Change::Limited(rate))
+        is_changed.then_some(SignalChange::Limited(rate))
     }
 
     /// Applies a response without a limit. It ends a limit only if its request was sent after the
     /// newest response with the limit was received: any other response may have been written before
     /// that one.
-    fn apply_no_limit(&mut self, answer: ResponseId) -> Option<Change> {
+    fn apply_no_limit(&mut self, answer: ResponseId) -> Option<SignalChange> {
         let ended = self.limit.take_if(|limit| answer.at.sent > limit.named.at.received);
         let is_newer = |ended: ResponseId| ended.id != answer.id && answer.at.sent > ended.at.sent;
         if ended.is_some() || self.ended().is_some_and(is_newer) {
             self.ended = Some(answer);
         }
-        ended.map(|_| Change::Unlimited)
+        ended.map(|_| SignalChange::Unlimited)
     }
 
     /// Merges the signals that another daemon has sent; returns whether they change anything.
@@ -144,10 +149,10 @@
         let limit = match summary.limit {
             LimitSummary::Unknown => None,
             LimitSummary::Named { per_s, at } => {
-                Rate::new(per_s).and_then(|rate| self.apply_limit(rate, at.answer(now)))
+                Rate::new(per_s).and_then(|rate| self.apply_limit(rate, at.to_response_id(now)))
             }
             LimitSummary::Ended(at) => {
-                let ResponseId { id, at: Interval { sent, received } } = at.answer(now);
+                let ResponseId { id, at: Interval { sent, received } } = at.to_response_id(now);
                 self.apply_no_limit(ResponseId {
                     id,
                     at: Interval { sent: sent.saturating_sub(TRANSIT_ALLOWANCE), received },
@@ -159,7 +164,7 @@
     }
 
     /// Returns the signals for other daemons.
-    pub fn told(&self, run: RunKey, now: Time) -> RunSummary {
+    pub fn summary(&self, run: RunKey, now: Time) -> RunSummary {
         let named = self.limit.map(|limit| LimitSummary::Named {
             per_s: limit.rate.per_s(),
             at: ResponseAges::of(limit.named, now),
@@ -172,14 +177,14 @@
     }
 
     /// Records that the target is draining, which is final.
-    fn set_leaving(&mut self) -> Option<Change> {
+    fn set_leaving(&mut self) -> Option<SignalChange> {
         let was_leaving = std::mem::replace(&mut self.is_leaving, true);
-        (!was_leaving).then_some(Change::Leaves)
+        (!was_leaving).then_some(SignalChange::Leaves)
     }
 
     /// Applies a retry delay. A shorter one does not replace a longer one: no request is sent
     /// during a delay, so its response is not newer than the one that set the longer delay.
-    fn set_retry_delay(&mut self, duration: Duration, now: Time) -> Option<Change> {
+    fn set_retry_delay(&mut self, duration: Duration, now: Time) -> Option<SignalChange> {
         let duration = duration.min(MAX_RETRY_DELAY);
         let until = now + duration;
         if duration.is_zero()
@@ -188,7 +193,7 @@
             return None;
         }
         self.retry_delay = Some(RetryDelay { until, probed: None });
-        Some(Change::BacksOff(duration))
+        Some(SignalChange::BacksOff(duration))
     }
 
     /// Applies a response without a retry delay. It ends the probing after a delay if its request
@@ -198,7 +203,7 @@
     }
 
     /// Records that a request has chosen the target.
-    pub fn sends(&mut self, now: Time) {
+    pub fn record_choice(&mut self, now: Time) {
         if let Some(retry_delay) =
             self.retry_delay.as_mut().filter(|retry_delay| now >= retry_delay.until)
         {
--- a/crates/tansyknot-fleet/src/dissemination/changes.rs
+++ b/crates/tansyknot-fleet/src/dissemination/changes.rs
@@ -174,7 +174,7 @@
             Change::Put(entry) => Subject::Entry(entry.name.clone()),
             Change::Models(entry) => Subject::Entry(entry.name.clone()),
             Change::Removed(removal) => Subject::Entry(removal.name.clone()),
-            Change::Override(note) => Subject::Override(note.target.clone()),
+            Change::Override(target_override) => Subject::Override(target_override.target.clone()),
             Change::FullRead(_) => Subject::FullRead,
         }
     }
--- a/crates/tansyknot-fleet/src/dissemination/planner_view.rs
+++ b/crates/tansyknot-fleet/src/dissemination/planner_view.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns what this daemon has received of the planner's updates.
-    pub fn known(&self, now: Time) -> ReceivedState {
+    pub fn received_state(&self, now: Time) -> ReceivedState {
         ReceivedState {
             fence: self.fence,
             number: self.number,
--- a/crates/tansyknot-fleet/src/fleet.rs
+++ b/crates/tansyknot-fleet/src/fleet.rs
@@ -161,10 +161,10 @@
     }
 
     /// Applies an override by the planner with `fence`, if this daemon tracks the target.
-    pub fn apply_override(&mut self, note: &TargetOverride, fence: u64, now: Time) {
+    pub fn apply_override(&mut self, target_override: &TargetOverride, fence: u64, now: Time) {
         let until = now + self.spans.override_ttl;
-        if let Some(m) = self.members.get_mut(&note.target) {
-            m.set_override(note, fence, until);
+        if let Some(m) = self.members.get_mut(&target_override.target) {
+            m.set_override(target_override, fence, until);
         }
     }
 
--- a/crates/tansyknot-fleet/src/fleet/list.rs
+++ b/crates/tansyknot-fleet/src/fleet/list.rs
@@ -372,8 +372,8 @@
             Change::Models(entry) => self.put_models(entry, now),
             // The planner has already waited for entries that expired during a store outage.
             Change::Removed(removal) => self.drop_member(removal, now),
-            Change::Override(note) => {
-                self.apply_override(&note, fence, now);
+            Change::Override(target_override) => {
+                self.apply_override(&target_override, fence, now);
                 None
             }
             Change::FullRead(read) => {
--- a/crates/tansyknot-fleet/src/fleet/signal.rs
+++ b/crates/tansyknot-fleet/src/fleet/signal.rs
@@ -5,10 +5,10 @@
 use super::{Fleet, TargetRequirements, member::Member};
 use crate::{
     backpressure::{
-        Interval, Outcome, Rate, Signal, SignalField, Signals,
+        Interval, Rate, RunOutcome, Signal, SignalField, Signals,
         message::{LimitSummary, RunSummary},
         pending::Permit,
-        run_state::{Availability, Change},
+        run_state::{Availability, SignalChange},
     },
     poison::key::RunKey,
     target::Target,
@@ -20,20 +20,20 @@
         &mut self,
         target: &Target,
         signals: &Signals,
-        outcome: Outcome,
+        outcome: RunOutcome,
         at: Interval,
-    ) -> Vec<Change> {
+    ) -> Vec<SignalChange> {
         let run = RunKey::of(target);
         if let Some(m) = self.members.get_mut(&target.name).filter(|m| m.run == run) {
             m.has_responded = true;
-            let is_unlimited = signals.limit == SignalField::Absent && outcome == Outcome::Ran;
+            let is_unlimited = signals.limit == SignalField::Absent && outcome == RunOutcome::Ran;
             let is_newer = m.last_unlimited.is_none_or(|before| at.sent > before.sent);
             if is_unlimited && is_newer {
                 m.last_unlimited = Some(at);
             }
         }
         let changes = self.backpressure.apply(run, signals, outcome, at);
-        if changes.contains(&Change::Leaves) {
+        if changes.contains(&SignalChange::Leaves) {
             self.mark_draining(run);
         }
         changes
@@ -54,7 +54,7 @@
             // it.
             let member = self.members.values().find(|m| m.run == summary.run);
             if let Some(at) = member.and_then(|m| m.last_unlimited) {
-                self.backpressure.apply(summary.run, &Signals::default(), Outcome::Ran, at);
+                self.backpressure.apply(summary.run, &Signals::default(), RunOutcome::Ran, at);
             }
         }
         is_changed
--- a/crates/tansyknot-fleet/src/lease_keeper.rs
+++ b/crates/tansyknot-fleet/src/lease_keeper.rs
@@ -382,7 +382,7 @@
                 }
                 self.shared.lease().record_claim(claim, version);
                 if !was_mine {
-                    self.state.demand_changed.notify();
+                    self.state.step_due.notify();
                     self.state.store_call_due.notify();
                 }
                 true
--- a/crates/tansyknot-fleet/src/peering.rs
+++ b/crates/tansyknot-fleet/src/peering.rs
@@ -47,7 +47,7 @@
 pub struct PeerNode {
     state: Arc<State>,
     lease: Arc<SharedLease>,
-    orders: Arc<TaskRunner>,
+    task_runner: Arc<TaskRunner>,
     planner: Mutex<Planner>,
     published: Mutex<Published>,
     stats: Mutex<CoordinationStats>,
@@ -77,16 +77,16 @@
     /// Creates the node of the daemon that `me` describes.
     pub fn new(
         state: Arc<State>,
-        orders: Arc<TaskRunner>,
+        task_runner: Arc<TaskRunner>,
         peers: Arc<dyn DatagramSender>,
         me: DaemonIdentity,
     ) -> Self {
-        let lease = Arc::clone(&orders.lease);
+        let lease = Arc::clone(&task_runner.lease);
         state.peers().set_local_address(me.address);
         Self {
             state,
             lease,
-            orders,
+            task_runner,
             planner: Mutex::default(),
             published: Mutex::default(),
             stats: Mutex::default(),
@@ -178,7 +178,7 @@
         );
         self.planner().record_demand(demand, now);
         if is_urgent || needs_reply {
-            self.state.demand_changed.notify();
+            self.state.step_due.notify();
         }
     }
 
@@ -258,7 +258,7 @@
             self.state.store_call_due.notify();
         }
         if has_new_gap {
-            self.state.demand_changed.notify();
+            self.state.step_due.notify();
         }
     }
 
@@ -270,7 +270,7 @@
         loop {
             let now = self.state.now();
             let max_wait = schedule.time_left(now).min(self.publish_delay(now));
-            let count = self.state.demand_changed.wait(seen, max_wait);
+            let count = self.state.step_due.wait(seen, max_wait);
             let has_changed = count != seen;
             seen = count;
             let now = self.state.now();
@@ -310,7 +310,7 @@
     /// Returns the demand that this daemon reports to the planner.
     fn current_demand(&self, now: Time) -> Demand {
         let seq = self.published().next_seq();
-        let received = self.state.planner_view().known(now);
+        let received = self.state.planner_view().received_state(now);
         let (poison, crashes) = {
             let mut poison = self.state.poison();
             (poison.digest(), poison.findings(now))
@@ -367,7 +367,7 @@
 
     /// Adds `n` to a counter, which is recorded under the service name `peers`.
     fn count_metric(&self, metric: metric::Metric, n: usize) {
-        self.orders.recorder.count(metric.name, &ServiceName::from("peers"), n as u64);
+        self.task_runner.recorder.count(metric.name, &ServiceName::from("peers"), n as u64);
     }
 
     /// Returns whether this daemon is the planner.
@@ -377,6 +377,6 @@
 
     /// Returns whether a load is due that the list of targets does not show yet.
     pub fn awaits_load(&self) -> bool {
-        self.orders.overdue_loads.load(Ordering::SeqCst) > 0
+        self.task_runner.overdue_loads.load(Ordering::SeqCst) > 0
     }
 }
--- a/crates/tansyknot-fleet/src/peering/crashes.rs
+++ b/crates/tansyknot-fleet/src/peering/crashes.rs
@@ -83,7 +83,7 @@
                 ListStatus::Listed => continue,
             };
             let suspected = self.state.poison().record_check(run, presence, self.state.now());
-            poison::report_crash(self.orders.recorder.as_ref(), &identity, suspected);
+            poison::report_crash(self.task_runner.recorder.as_ref(), &identity, suspected);
         }
     }
 
--- a/crates/tansyknot-fleet/src/peering/planning.rs
+++ b/crates/tansyknot-fleet/src/peering/planning.rs
@@ -49,9 +49,9 @@
 
     fn run_task(&self, task: &Task) {
         self.count_remote_loads(task);
-        let end = self.orders.run(task);
+        let end = self.task_runner.run(task);
         self.planner().task_ended(&task.target.name, end, self.state.now());
-        self.state.demand_changed.notify();
+        self.state.step_due.notify();
     }
 
     fn count_remote_loads(&self, task: &Task) {
--- a/crates/tansyknot-fleet/src/peering/quota.rs
+++ b/crates/tansyknot-fleet/src/peering/quota.rs
@@ -35,7 +35,7 @@
         if !self.state.requires_keys() {
             return;
         }
-        let report = self.state.pending().take_report(now);
+        let report = self.state.pending_quotas().take_report(now);
         if self.lease.is_valid(now) {
             self.record_own_usage(&report, now);
             return;
@@ -105,13 +105,13 @@
     /// Handles the planner's reply to a usage report. Ages count from when the report was sent: the
     /// reply was made after that, however long it or this process was delayed since.
     pub(super) fn handle_usage_reply(&self, reply: &UsageReply, now: Time) {
-        let Some(sent_at) = self.state.pending().sent_at(reply.stamp, now) else { return };
+        let Some(sent_at) = self.state.pending_quotas().sent_at(reply.stamp, now) else { return };
         if let Some(age) = reply.config_age_ms {
             let as_of = sent_at.saturating_sub(Duration::from_millis(age.into()));
             self.state.key_view().record_newest(reply.config, as_of);
         }
         if reply.fence >= self.lease.fence() {
-            self.state.pending().renew_shares(&reply.lent, reply.fence, sent_at, now);
+            self.state.pending_quotas().renew_shares(&reply.lent, reply.fence, sent_at, now);
         }
     }
 
@@ -130,7 +130,7 @@
 
     /// Handles the reply to a quota request.
     pub(super) fn handle_quota_reply(&self, quota_reply: QuotaReply) {
-        if self.state.pending().record_verdict(quota_reply.number, quota_reply.verdict) {
+        if self.state.pending_quotas().record_verdict(quota_reply.number, quota_reply.verdict) {
             self.state.quota_reply_received.notify();
         }
     }
@@ -167,7 +167,7 @@
         }
         loop {
             let seen = self.state.quota_reply_received.count();
-            if let Some(verdict) = self.state.pending().verdict(number) {
+            if let Some(verdict) = self.state.pending_quotas().verdict(number) {
                 return Some(verdict);
             }
             let left = until.since(self.state.now());
@@ -180,7 +180,7 @@
 
     /// Takes units from the quota lent to this daemon; returns whether enough was left.
     fn take_lent(&self, team: &TeamName, units: f64, now: Time) -> bool {
-        let is_taken = self.state.pending().take_lent(team, units, rand::random(), now);
+        let is_taken = self.state.pending_quotas().take_lent(team, units, rand::random(), now);
         if is_taken {
             self.count_metric(metric::QUOTA_LENT, 1);
         }
@@ -200,7 +200,7 @@
             let now = self.state.now();
             match verdict {
                 Some(Verdict::Granted) => {
-                    self.state.pending().deduct_granted(team, units, now);
+                    self.state.pending_quotas().deduct_granted(team, units, now);
                     return QuotaDecision::Granted;
                 }
                 Some(Verdict::Over { wait_ms }) => {
@@ -208,7 +208,7 @@
                 }
                 Some(Verdict::Later) => {
                     // The account already covers the lent units: using both would exceed the quota.
-                    self.state.pending().clear_verdict(number);
+                    self.state.pending_quotas().clear_verdict(number);
                     self.state.clock.sleep(REPLY_TIMEOUT);
                 }
                 None if self.take_lent(team, units, now) => return QuotaDecision::Granted,
@@ -225,7 +225,7 @@
     fn take(&self, team: &TeamName, units: f64, timeout: Duration) -> QuotaDecision {
         let now = self.state.now();
         let (number, silent) = {
-            let mut pending = self.state.pending();
+            let mut pending = self.state.pending_quotas();
             (pending.begin(team, units, now), pending.unanswered_for(now))
         };
         let is_planner_unresponsive = !self.lease.is_valid(now) && silent >= UNRESPONSIVE_AFTER;
@@ -235,7 +235,7 @@
             let outage_left = MAX_PLANNER_OUTAGE.saturating_sub(silent);
             self.request_until(number, team, units, now + timeout.min(outage_left))
         };
-        self.state.pending().end(number);
+        self.state.pending_quotas().end(number);
         decision
     }
 }
--- a/crates/tansyknot-fleet/src/platform_api.rs
+++ b/crates/tansyknot-fleet/src/platform_api.rs
@@ -255,8 +255,9 @@
         /// Whether the named target itself responded, because the model is not loaded there.
         same_target: bool,
     },
-    /// The response belongs to another request.
-    OtherRequest,
+    /// The response is not verified as the target's response to this request: it names another
+    /// request, lacks the seal, or has a content encoding that was not requested.
+    Unverified,
 }
 
 /// Reads and writes the heads of requests and responses.
--- a/crates/tansyknot-fleet/src/poison.rs
+++ b/crates/tansyknot-fleet/src/poison.rs
@@ -105,7 +105,13 @@
     /// Records that a target closed the connection of a request early, which was opened at
     /// `opened`; returns whether the target is to be checked. [`Poison::record_check`] records the
     /// result of the check.
-    pub fn cut_off(&mut self, key: RequestKey, run: RunKey, opened: Time, now: Time) -> CheckState {
+    pub fn record_early_close(
+        &mut self,
+        key: RequestKey,
+        run: RunKey,
+        opened: Time,
+        now: Time,
+    ) -> CheckState {
         if self.ended.contains_key(&run) {
             self.record_crash(key, run, now.since(opened), now);
             return CheckState::Done;
@@ -180,9 +186,9 @@
     /// The request is cleared because a target could run it. This is sent to other daemons if the
     /// next crash would convict the request. A run that answers is alive even if it was taken for
     /// ended, so its supposed crash counts for no request.
-    pub fn answered(&mut self, key: RequestKey, run: RunKey, opened: Time, now: Time) {
+    pub fn record_answer(&mut self, key: RequestKey, run: RunKey, opened: Time, now: Time) {
         self.served.add(key, now);
-        self.crash_checks.answered(run, opened);
+        self.crash_checks.record_answer(run, opened);
         if self.accounts.is_empty() {
             return;
         }
--- a/crates/tansyknot-fleet/src/poison/account.rs
+++ b/crates/tansyknot-fleet/src/poison/account.rs
@@ -23,7 +23,7 @@
     /// The crashes that don't count: the request was run since, or the target is alive.
     cleared: BTreeSet<RunKey>,
     /// The longest time that a target had the request before the target ended.
-    lived: Duration,
+    longest_held: Duration,
     /// Whether a target has ended under a trial of the request.
     tried: bool,
     /// The value of the use counter when the account was last used.
@@ -36,7 +36,7 @@
     pub(super) fn add_crash(&mut self, run: RunKey, lived: Duration) {
         if self.count() < MAX_CRASHES {
             self.crashes.insert(run);
-            self.lived = self.lived.max(lived);
+            self.longest_held = self.longest_held.max(lived);
         }
     }
 
@@ -61,7 +61,7 @@
     /// Clears the runs that also ended under `cause`, if targets ran that request for a shorter
     /// time; returns whether there were any.
     pub(super) fn clear_shared_with(&mut self, cause: &Account) -> bool {
-        if self.is_tried() || self.lived <= cause.lived {
+        if self.is_tried() || self.longest_held <= cause.longest_held {
             return false;
         }
         let shared: Vec<RunKey> =
@@ -92,7 +92,7 @@
         self.crashes.extend(&other.cleared);
         self.cleared.extend(&other.cleared);
         self.tried |= other.tried;
-        other.crashes.iter().for_each(|run| self.add_crash(*run, other.longest_run));
+        other.crashes.iter().for_each(|run| self.add_crash(*run, other.longest_held));
         self.trim();
     }
 
@@ -112,7 +112,7 @@
             request,
             crashes: self.counted().copied().collect(),
             cleared: self.cleared.iter().copied().collect(),
-            longest_run: self.lived,
+            longest_held: self.longest_held,
             tried: self.tried,
         }
     }
--- a/crates/tansyknot-fleet/src/poison/crash_check.rs
+++ b/crates/tansyknot-fleet/src/poison/crash_check.rs
@@ -197,7 +197,7 @@
     }
 
     /// Records that a target has answered a request that was sent at `opened`: it was alive then.
-    pub(super) fn answered(&mut self, run: RunKey, opened: Time) {
+    pub(super) fn record_answer(&mut self, run: RunKey, opened: Time) {
         let Some(check) = self.open.get_mut(&run) else { return };
         check.suspects.retain(|s| s.cut_off_at >= opened);
         if check.suspects.is_empty() && !check.is_being_checked {
--- a/crates/tansyknot-fleet/src/poison/evidence.rs
+++ b/crates/tansyknot-fleet/src/poison/evidence.rs
@@ -17,7 +17,7 @@
     /// The runs that no longer count.
     pub cleared: Vec<RunKey>,
     /// The longest time that one of these runs had the request before it ended.
-    pub longest_run: Duration,
+    pub longest_held: Duration,
     /// Whether a target has ended under a trial of the request.
     pub tried: bool,
 }
--- a/crates/tansyknot-fleet/src/poison/row.rs
+++ b/crates/tansyknot-fleet/src/poison/row.rs
@@ -57,7 +57,7 @@
     let request = |item: &Evidence| RequestDoc {
         key: item.request.to_string(),
         crashes: item.crashes.iter().take(MAX_WRITTEN_CRASHES).map(RunKey::to_string).collect(),
-        lived_ms: item.longest_run.as_millis() as u64,
+        lived_ms: item.longest_held.as_millis() as u64,
         tried: item.tried,
     };
     let requests = evidence.iter().take(MAX_CONVICTED).map(request).collect();
@@ -85,7 +85,7 @@
         request: RequestKey(u128::from_str_radix(&doc.key, 16)?),
         crashes: doc.crashes.iter().map(run).collect::<Result<_, _>>()?,
         cleared: Vec::new(),
-        longest_run: Duration::from_millis(doc.lived_ms),
+        longest_held: Duration::from_millis(doc.lived_ms),
         tried: doc.tried,
     })
 }
--- a/crates/tansyknot-fleet/src/serve/access.rs
+++ b/crates/tansyknot-fleet/src/serve/access.rs
@@ -130,7 +130,7 @@
     pub(super) fn settle_quota(&self, request: &ActiveRequest<'_>) {
         let (Identity::Team(team), Some(cost)) = (&request.identity, request.cost) else { return };
         let now = self.state.now();
-        let mut pending = self.state.pending();
+        let mut pending = self.state.pending_quotas();
         match request.runs {
             0 => pending.give_back(&team.name, cost.units, cost.taken_at, now),
             1 => {}
--- a/crates/tansyknot-fleet/src/serve/attempt.rs
+++ b/crates/tansyknot-fleet/src/serve/attempt.rs
@@ -136,7 +136,7 @@
         self.record_signals(request, target, &head, class, began);
         match class {
             ResponseClass::Ran => {}
-            ResponseClass::OtherRequest => {
+            ResponseClass::Unverified => {
                 request.note(format_args!("{} foreign answer", target.name));
                 request.runs += 1;
                 return SendOutcome::MayHaveRun(Failure::Foreign);
--- a/crates/tansyknot-fleet/src/serve/crash.rs
+++ b/crates/tansyknot-fleet/src/serve/crash.rs
@@ -30,7 +30,7 @@
         match outcome {
             SendOutcome::Relayed(_) => {
                 let now = self.state.now();
-                self.state.poison().answered(request.key, RunKey::of(target), opened, now);
+                self.state.poison().record_answer(request.key, RunKey::of(target), opened, now);
                 self.wake_crash_publisher();
             }
             SendOutcome::MayHaveRun(Failure::ClosedEarly) => self.probe(request, target, opened),
@@ -48,7 +48,7 @@
         if !self.state.fleet().accepts_work(&target.name, now) {
             return;
         }
-        let check = self.state.poison().cut_off(request.key, run_key, opened, now);
+        let check = self.state.poison().record_early_close(request.key, run_key, opened, now);
         match check {
             CheckState::Due => {
                 let presence = exchange::probe(target.address, PROBE_TIMEOUT);
--- a/crates/tansyknot-fleet/src/serve/signal.rs
+++ b/crates/tansyknot-fleet/src/serve/signal.rs
@@ -8,7 +8,7 @@
 
 use super::{Server, request::ActiveRequest};
 use crate::{
-    backpressure::{Interval, Outcome, Signal, Signals, run_state::Change},
+    backpressure::{Interval, RunOutcome, Signal, Signals, run_state::SignalChange},
     exchange::ResponseHead,
     platform_api::ResponseClass,
     target::Target,
@@ -30,10 +30,10 @@
         let Some(signals) = signals else { return };
         self.record_malformed(&target.name, &signals);
         let outcome = match class {
-            ResponseClass::Ran => Outcome::Ran,
+            ResponseClass::Ran => RunOutcome::Ran,
             ResponseClass::NotRun
             | ResponseClass::Misdirected { .. }
-            | ResponseClass::OtherRequest => Outcome::NotRun,
+            | ResponseClass::Unverified => RunOutcome::NotRun,
         };
         let at = Interval { sent, received: self.state.now() };
         let changes = self.state.fleet().record_signals(target, &signals, outcome, at);
@@ -44,12 +44,14 @@
         changes.into_iter().for_each(|change| self.record_change(&target.name, change));
     }
 
-    fn record_change(&self, target: &TargetName, change: Change) {
+    fn record_change(&self, target: &TargetName, change: SignalChange) {
         let (signal, what) = match change {
-            Change::Limited(rate) => (Signal::Limit, rate.to_string()),
-            Change::Unlimited => (Signal::Limit, "none".to_owned()),
-            Change::Leaves => (Signal::Leaving, "leaves".to_owned()),
-            Change::BacksOff(delay) => (Signal::RetryDelay, format!("{} ms", delay.as_millis())),
+            SignalChange::Limited(rate) => (Signal::Limit, rate.to_string()),
+            SignalChange::Unlimited => (Signal::Limit, "none".to_owned()),
+            SignalChange::Leaves => (Signal::Leaving, "leaves".to_owned()),
+            SignalChange::BacksOff(delay) => {
+                (Signal::RetryDelay, format!("{} ms", delay.as_millis()))
+            }
         };
         self.recorder.count(metric::SIGNALS.name, &ServiceName::from(signal.name()), 1);
         event::TARGET_SIGNAL.emit(&[
--- a/crates/tansyknot-fleet/src/serve/wait.rs
+++ b/crates/tansyknot-fleet/src/serve/wait.rs
@@ -189,7 +189,7 @@
     /// model.
     fn begin_demand(&self, request: &ActiveRequest<'_>, now: Time) {
         self.state.fleet().begin_waiting(&request.want(), now);
-        self.state.demand_changed.notify();
+        self.state.step_due.notify();
     }
 
     /// Records that a request no longer waits for a load or replica, and whether it has found a
@@ -204,7 +204,7 @@
         self.state.fleet().end_waiting(&request.want());
         // Reports the request at its target: until the planner sees it there, or a timeout passes,
         // it does not evict the model.
-        self.state.demand_changed.notify();
+        self.state.step_due.notify();
         if is_found && shortage == Shortage::Model {
             self.state.load_waits().of(&request.want()).observe(waited);
         }
--- a/crates/tansyknot-fleet/src/state.rs
+++ b/crates/tansyknot-fleet/src/state.rs
@@ -103,7 +103,7 @@
     pub targets_changed: Notifier,
     /// Raised when this daemon is to run a step before its next heartbeat, for example because a
     /// request begins to wait for a load, the view of the targets has changed or a task has ended.
-    pub demand_changed: Notifier,
+    pub step_due: Notifier,
     /// Raised when a crash check of a target has ended, evidence about poison requests is to be
     /// sent, or a request is convicted.
     pub poison_changed: Notifier,
@@ -119,7 +119,7 @@
     peers: Mutex<Peers>,
     poison: Mutex<Poison>,
     key_view: Mutex<KeyView>,
-    pending: Mutex<PendingQuotas>,
+    pending_quotas: Mutex<PendingQuotas>,
     permits: Mutex<PendingPermits>,
     contacts: Mutex<Contacts>,
     catalog: RwLock<Option<Arc<Catalog>>>,
@@ -152,7 +152,7 @@
         Self {
             clock,
             targets_changed: Notifier::default(),
-            demand_changed: Notifier::default(),
+            step_due: Notifier::default(),
             poison_changed: Notifier::default(),
             quota_reply_received: Notifier::default(),
             permits_changed: Notifier::default(),
@@ -162,7 +162,7 @@
             peers: Mutex::default(),
             poison: Mutex::new(Poison::new(started)),
             key_view: Mutex::default(),
-            pending: Mutex::new(PendingQuotas::of_run(rand::random())),
+            pending_quotas: Mutex::new(PendingQuotas::of_run(rand::random())),
             permits: Mutex::new(PendingPermits::of_run(rand::random())),
             contacts: Mutex::default(),
             catalog: RwLock::new(None),
@@ -230,8 +230,8 @@
     /// # Panics
     ///
     /// Panics if the lock is poisoned.
-    pub fn pending(&self) -> MutexGuard<'_, PendingQuotas> {
-        self.pending.lock().expect("no holder of the lock panics")
+    pub fn pending_quotas(&self) -> MutexGuard<'_, PendingQuotas> {
+        self.pending_quotas.lock().expect("no holder of the lock panics")
     }
 
     /// Returns the pending permit requests for targets that announce limits.
@@ -356,7 +356,7 @@
     /// Wakes the requests that wait for a target, and the planner, after a change of the view.
     pub fn notify_view_changed(&self) {
         self.targets_changed.notify();
-        self.demand_changed.notify();
+        self.step_due.notify();
     }
 
     /// Records that the store does not respond.
--- a/crates/tansyknot-fleet/src/task/load.rs
+++ b/crates/tansyknot-fleet/src/task/load.rs
@@ -23,7 +23,7 @@
         let began = self.now();
         self.pause(expected);
         self.overdue_loads.fetch_add(1, Ordering::SeqCst);
-        self.state.demand_changed.notify();
+        self.state.step_due.notify();
         let is_loaded = self.poll_until_loaded(progress, model);
         self.overdue_loads.fetch_sub(1, Ordering::SeqCst);
         if is_loaded {
--- a/crates/tansyknot-fleet/tests/access.rs
+++ b/crates/tansyknot-fleet/tests/access.rs
@@ -6,7 +6,7 @@
 use tansyknot_fleet::{
     access::{
         self, AccessOptions, Denied, RequestCredentials,
-        account::{Account, Outcome},
+        account::{Account, WithdrawalOutcome},
         lending::{QuotaAccounts, QuotaWithdrawal},
         message::{LentShare, Stamp, TeamUse, Verdict},
         pending::PendingQuotas,
@@ -103,30 +103,40 @@
 #[test]
 fn account_fills_at_the_rate_and_holds_the_burst() {
     let mut account = Account::open(QUOTA, &OPTIONS, at(0));
-    assert_eq!(account.take(100.0, at(0)), Outcome::Opening, "a new account lets daemons retry");
-    assert_eq!(account.take(400.0, at(500)), Outcome::Taken);
+    assert_eq!(
+        account.take(100.0, at(0)),
+        WithdrawalOutcome::Opening,
+        "a new account lets daemons retry"
+    );
+    assert_eq!(account.take(400.0, at(500)), WithdrawalOutcome::Taken);
     assert!((account.left(at(60_000)) - 1_000.0).abs() < 1.0);
-    assert_eq!(account.take(1_000.0, at(60_000)), Outcome::Taken);
-    assert_eq!(account.take(500.0, at(60_000)), Outcome::Over(Duration::from_millis(500)));
-    let Outcome::Over(wait) = account.take(500.0, at(60_000)) else {
+    assert_eq!(account.take(1_000.0, at(60_000)), WithdrawalOutcome::Taken);
+    assert_eq!(
+        account.take(500.0, at(60_000)),
+        WithdrawalOutcome::Over(Duration::from_millis(500))
+    );
+    let WithdrawalOutcome::Over(wait) = account.take(500.0, at(60_000)) else {
         panic!("the account is empty")
     };
     assert!(wait > Duration::from_millis(900), "requests refused before are retried first");
-    assert_eq!(account.take(500.0, at(60_500)), Outcome::Taken);
-    assert_eq!(account.take(9_000.0, at(70_000)), Outcome::Taken, "more than the burst");
+    assert_eq!(account.take(500.0, at(60_500)), WithdrawalOutcome::Taken);
+    assert_eq!(account.take(9_000.0, at(70_000)), WithdrawalOutcome::Taken, "more than the burst");
     assert!(account.left(at(70_000)) < -7_000.0);
-    assert!(matches!(account.take(1e18, at(90_000)), Outcome::Over(_)), "it would block the team");
+    assert!(
+        matches!(account.take(1e18, at(90_000)), WithdrawalOutcome::Over(_)),
+        "it would block the team"
+    );
     assert!(account.left(at(90_000)) > 999.0);
 }
 
 #[test]
 fn units_given_back_count_as_never_taken() {
     let mut account = Account::open(QUOTA, &OPTIONS, at(0));
-    assert_eq!(account.take(1_000.0, at(10_000)), Outcome::Taken);
+    assert_eq!(account.take(1_000.0, at(10_000)), WithdrawalOutcome::Taken);
     // Without the withdrawal the account would have stayed full, so it is full now and no more.
     account.give_back(1_000.0, Duration::from_millis(3_000), at(13_000));
     assert!((account.left(at(13_000)) - 1_000.0).abs() < 1.0);
-    assert_eq!(account.take(1_000.0, at(13_000)), Outcome::Taken);
+    assert_eq!(account.take(1_000.0, at(13_000)), WithdrawalOutcome::Taken);
     account.give_back(5_000.0, Duration::ZERO, at(13_000));
     assert!(
         (account.left(at(13_000)) - 1_000.0).abs() < 1.0,
--- a/crates/tansyknot-fleet/tests/news.rs
+++ b/crates/tansyknot-fleet/tests/news.rs
@@ -210,7 +210,7 @@
                 view.extend(f.apply_list_update(planner.fence, part, now).iter().map(key));
             }
         }
-        let known = f.known(now);
+        let known = f.received_state(now);
         if known.missing_to.is_some() && !rng.random_bool(loss) {
             let repair = planner.repair(known, read, now);
             if !rng.random_bool(loss) {
@@ -416,7 +416,7 @@
     log.add(Change::Removed(Removal { name: target("t0", &[], &[]).name, version: 8 }), 8, now);
     let newer = log.changes_after(1, FRESH, now);
     assert_eq!(f.apply_list_update(1, newer, now).len(), 1);
-    assert_eq!(f.known(now).missing_to, Some(1));
+    assert_eq!(f.received_state(now).missing_to, Some(1));
     assert!(f.apply_list_update(1, late, now).is_empty(), "the target stays removed");
     assert!(!f.has_gap());
 }
@@ -434,12 +434,12 @@
             f.apply_list_update(1, log.changes_between(n - 1, n, FRESH, now), now);
         }
     }
-    let known = f.known(now);
+    let known = f.received_state(now);
     assert_eq!((known.number, known.missing_to), (Some(1), Some(3)));
     let repair = log.changes_between(1, 3, FRESH, now);
     assert_eq!(repair.changes.len(), 2);
     f.apply_list_update(1, repair, now);
-    assert_eq!(f.known(now).number, Some(6));
+    assert_eq!(f.received_state(now).number, Some(6));
     assert!(!f.has_gap());
 }
 
--- a/crates/tansyknot-fleet/tests/obeyed.rs
+++ b/crates/tansyknot-fleet/tests/obeyed.rs
@@ -13,7 +13,7 @@
 };
 use tansyknot_fleet::{
     backpressure::{
-        Interval, Outcome, Rate, SignalField, Signals,
+        Interval, Rate, RunOutcome, SignalField, Signals,
         message::{LimitSummary, ResponseAges, RunSummary},
     },
     dissemination::message::TargetOverride,
@@ -54,7 +54,7 @@
 }
 
 /// Records a response of `t1` to a request that was sent 1 ms before.
-fn record_response(fleet: &mut Fleet, signals: Signals, outcome: Outcome, now: Time) {
+fn record_response(fleet: &mut Fleet, signals: Signals, outcome: RunOutcome, now: Time) {
     let interval = Interval { sent: now.saturating_sub(Duration::from_millis(1)), received: now };
     fleet.record_signals(&entry("t1", 1), &signals, outcome, interval);
 }
@@ -107,24 +107,24 @@
 }
 
 #[parameterized(
-    limit = { limit_signal(1.0), Outcome::Ran },
-    leaving = { leaving_signal(), Outcome::Ran },
-    rest = { retry_delay_signal(), Outcome::NotRun },
+    limit = { limit_signal(1.0), RunOutcome::Ran },
+    leaving = { leaving_signal(), RunOutcome::Ran },
+    rest = { retry_delay_signal(), RunOutcome::NotRun },
 )]
-fn others_that_hold_the_model_go_first(signals: Signals, outcome: Outcome) {
+fn others_that_hold_the_model_go_first(signals: Signals, outcome: RunOutcome) {
     let mut fleet = synced_fleet();
     record_response(&mut fleet, signals, outcome, at(1));
     assert_eq!(picks(&mut fleet, at(2)), ["t2", "t2", "t2"]);
 }
 
 #[parameterized(
-    limit = { limit_signal(1.0), Outcome::Ran, "t1 with a permit" },
-    leaving = { leaving_signal(), Outcome::Ran, "t2" },
-    rest = { retry_delay_signal(), Outcome::NotRun, "t2" },
+    limit = { limit_signal(1.0), RunOutcome::Ran, "t1 with a permit" },
+    leaving = { leaving_signal(), RunOutcome::Ran, "t2" },
+    rest = { retry_delay_signal(), RunOutcome::NotRun, "t2" },
 )]
 fn retry_respects_the_signals_of_the_other_target(
     signals: Signals,
-    outcome: Outcome,
+    outcome: RunOutcome,
     expected: &str,
 ) {
     let mut fleet = synced_fleet();
@@ -133,11 +133,11 @@
 }
 
 #[parameterized(
-    limit = { limit_signal(1.0), Outcome::Ran },
-    leaving = { leaving_signal(), Outcome::Ran },
-    rest = { retry_delay_signal(), Outcome::NotRun },
+    limit = { limit_signal(1.0), RunOutcome::Ran },
+    leaving = { leaving_signal(), RunOutcome::Ran },
+    rest = { retry_delay_signal(), RunOutcome::NotRun },
 )]
-fn silent_target_is_kept_where_the_other_one_takes_nothing(signals: Signals, outcome: Outcome) {
+fn silent_target_is_kept_where_the_other_one_takes_nothing(signals: Signals, outcome: RunOutcome) {
     let mut fleet = synced_fleet();
     assert_eq!(pick_other(&mut fleet, at(0)), Some("t1".to_owned()));
     record_response(&mut fleet, signals, outcome, at(1));
@@ -145,11 +145,11 @@
 }
 
 #[parameterized(
-    limit = { limit_signal(1.0), Outcome::Ran },
-    leaving = { leaving_signal(), Outcome::Ran },
-    rest = { retry_delay_signal(), Outcome::NotRun },
+    limit = { limit_signal(1.0), RunOutcome::Ran },
+    leaving = { leaving_signal(), RunOutcome::Ran },
+    rest = { retry_delay_signal(), RunOutcome::NotRun },
 )]
-fn request_that_was_on_its_way_there_is_not_sent(signals: Signals, outcome: Outcome) {
+fn request_that_was_on_its_way_there_is_not_sent(signals: Signals, outcome: RunOutcome) {
     let mut fleet = synced_fleet();
     let run = RunKey::of(&entry("t1", 1));
     assert!(fleet.may_send(run, None, at(0)));
@@ -161,7 +161,7 @@
 fn rest_that_only_one_holds_is_waited_for_until_its_end() {
     let mut fleet = synced_fleet();
     put(&mut fleet, Target { models: Vec::new(), ..entry("t2", 1) }, 2, at(0));
-    record_response(&mut fleet, retry_delay_signal(), Outcome::NotRun, at(1));
+    record_response(&mut fleet, retry_delay_signal(), RunOutcome::NotRun, at(1));
     assert_eq!(pick(&mut fleet, &[], at(2)), "in 3001 ms");
     assert_eq!(pick(&mut fleet, &[], at(3001)), "t1");
     assert_eq!(
@@ -214,9 +214,9 @@
 )]
 fn word_outlives_what_happens_to_the_entry(event: Event) {
     for (signals, outcome) in [
-        (limit_signal(1.0), Outcome::Ran),
-        (leaving_signal(), Outcome::Ran),
-        (retry_delay_signal(), Outcome::NotRun),
+        (limit_signal(1.0), RunOutcome::Ran),
+        (leaving_signal(), RunOutcome::Ran),
+        (retry_delay_signal(), RunOutcome::NotRun),
     ] {
         let mut fleet = synced_fleet();
         record_response(&mut fleet, signals, outcome, at(1));
@@ -228,7 +228,7 @@
 #[test]
 fn new_run_under_the_name_starts_without_signals() {
     let mut fleet = synced_fleet();
-    record_response(&mut fleet, leaving_signal(), Outcome::Ran, at(1));
+    record_response(&mut fleet, leaving_signal(), RunOutcome::Ran, at(1));
     put(&mut fleet, entry("t1", 2), 5, at(5));
     assert!(picks(&mut fleet, at(6)).contains(&"t1".to_owned()));
 }
@@ -236,7 +236,7 @@
 #[test]
 fn target_that_leaves_is_shown_as_draining_to_plans_and_to_doubts_of_its_end() {
     let mut fleet = synced_fleet();
-    record_response(&mut fleet, leaving_signal(), Outcome::Ran, at(1));
+    record_response(&mut fleet, leaving_signal(), RunOutcome::Ran, at(1));
     let name = TargetName::from("t1");
     assert_eq!(fleet.target(&name).map(|t| t.state), Some(TargetState::Draining));
     assert!(!fleet.accepts_work(&name, at(2)));
@@ -247,7 +247,7 @@
 #[test]
 fn late_limit_is_ended_by_a_response_received_before() {
     let mut fleet = synced_fleet();
-    record_response(&mut fleet, Signals::default(), Outcome::Ran, at(1000));
+    record_response(&mut fleet, Signals::default(), RunOutcome::Ran, at(1000));
     let limit_interval = Interval { sent: at(100), received: at(200) };
     let limit =
         LimitSummary::Named { per_s: 1.0, at: ResponseAges::of(limit_interval.into(), at(1500)) };
@@ -264,6 +264,6 @@
     let mut fleet = unsynced_fleet();
     assert_eq!(pick(&mut fleet, &["t2"], at(0)), "t1");
     assert_eq!(pick(&mut fleet, &["t2"], at(1)), "full");
-    record_response(&mut fleet, Signals::default(), Outcome::Ran, at(2));
+    record_response(&mut fleet, Signals::default(), RunOutcome::Ran, at(2));
     assert_eq!(pick(&mut fleet, &["t2"], at(3)), "t1");
 }
--- a/crates/tansyknot-fleet/tests/poison.rs
+++ b/crates/tansyknot-fleet/tests/poison.rs
@@ -31,7 +31,7 @@
 
 /// Records that a run crashed while it had the request.
 fn crash(poison: &mut Poison, key: RequestKey, run: u64, now: Time) {
-    if poison.cut_off(key, RunKey(run), now, now) == CheckState::Due {
+    if poison.record_early_close(key, RunKey(run), now, now) == CheckState::Due {
         poison.record_check(RunKey(run), Presence::Ended, now);
     }
 }
@@ -49,7 +49,7 @@
         request: REQUEST,
         crashes,
         cleared: Vec::new(),
-        longest_run: Duration::ZERO,
+        longest_held: Duration::ZERO,
         tried: false,
     }
 }
@@ -72,9 +72,12 @@
 fn running_target_leads_to_no_suspicion(presence: Presence) {
     let mut poison = Poison::default();
     for run in 0..9 {
-        assert_eq!(poison.cut_off(REQUEST, RunKey(run), at(run), at(run)), CheckState::Due);
         assert_eq!(
-            poison.cut_off(RequestKey(8), RunKey(run), at(run), at(run)),
+            poison.record_early_close(REQUEST, RunKey(run), at(run), at(run)),
+            CheckState::Due
+        );
+        assert_eq!(
+            poison.record_early_close(RequestKey(8), RunKey(run), at(run), at(run)),
             CheckState::InProgress
         );
         assert_eq!(poison.record_check(RunKey(run), presence, at(run)), 0);
@@ -93,7 +96,7 @@
 /// Records that a target closed the request's connection early while its port still accepts
 /// connections.
 fn cut_off_while_listening(poison: &mut Poison, run: u64, now: Time) {
-    assert_eq!(poison.cut_off(REQUEST, RunKey(run), now, now), CheckState::Due);
+    assert_eq!(poison.record_early_close(REQUEST, RunKey(run), now, now), CheckState::Due);
     assert_eq!(poison.record_check(RunKey(run), Presence::Listening, now), 0);
     poison.recheck(RunKey(run), identity());
 }
@@ -129,7 +132,7 @@
 fn target_that_answers_a_later_request_is_not_suspect() {
     let mut poison = Poison::default();
     (0..3).for_each(|run| cut_off_while_listening(&mut poison, run, at(1)));
-    (0..3).for_each(|run| poison.answered(RequestKey(8), RunKey(run), at(2), at(3)));
+    (0..3).for_each(|run| poison.record_answer(RequestKey(8), RunKey(run), at(2), at(3)));
     (0..3).for_each(|run| _ = poison.record_check(RunKey(run), Presence::Gone, at(5)));
     assert_eq!((poison.is_convicted(REQUEST), poison.has_suspect_targets()), (false, false));
 }
@@ -153,7 +156,8 @@
 /// Records that three targets crashed after they had the request for `age_ms` milliseconds.
 fn crash_after(poison: &mut Poison, key: RequestKey, age_ms: u64, now: u64) {
     for run in 0..3 {
-        if poison.cut_off(key, RunKey(run), at(now - age_ms), at(now)) == CheckState::Due {
+        if poison.record_early_close(key, RunKey(run), at(now - age_ms), at(now)) == CheckState::Due
+        {
             poison.record_check(RunKey(run), Presence::Ended, at(now));
         }
     }
@@ -179,12 +183,12 @@
 #[test]
 fn one_check_counts_for_all_requests_at_the_target() {
     let mut poison = Poison::default();
-    let first = poison.cut_off(REQUEST, RunKey(1), at(1), at(1));
-    let second = poison.cut_off(RequestKey(8), RunKey(1), at(1), at(1));
+    let first = poison.record_early_close(REQUEST, RunKey(1), at(1), at(1));
+    let second = poison.record_early_close(RequestKey(8), RunKey(1), at(1), at(1));
     assert_eq!((first, second), (CheckState::Due, CheckState::InProgress));
     assert_eq!(poison.record_check(RunKey(1), Presence::Ended, at(2)), 2);
     // A request whose end is noticed after the check needs no check of its own.
-    assert_eq!(poison.cut_off(RequestKey(9), RunKey(1), at(3), at(3)), CheckState::Done);
+    assert_eq!(poison.record_early_close(RequestKey(9), RunKey(1), at(3), at(3)), CheckState::Done);
     assert_eq!(poison.suspected(), 3);
 }
 
@@ -218,7 +222,7 @@
     let mut other = Poison::default();
     (0..2).for_each(|run| crash(&mut poison, REQUEST, run, at(run)));
     other.merge(&poison.take_unsent(), at(2));
-    poison.answered(REQUEST, RunKey(5), at(3), at(4));
+    poison.record_answer(REQUEST, RunKey(5), at(3), at(4));
     other.merge(&poison.take_unsent(), at(5));
     // Long after the response, so that the request is not protected by a recent response.
     for (n, daemon) in [&mut poison, &mut other].into_iter().enumerate() {
@@ -233,7 +237,7 @@
 fn local_clearance_is_published_at_once_when_evidence_arrives() {
     let state = state(&ManualClock::new());
     let now = state.now();
-    state.poison().answered(REQUEST, RunKey(9), now, now);
+    state.poison().record_answer(REQUEST, RunKey(9), now, now);
     let seen = state.poison_changed.count();
     state.merge_poison(&[evidence(&[1, 2])]);
     assert_ne!(state.poison_changed.count(), seen, "the publishing thread is notified");
@@ -244,7 +248,7 @@
 #[test]
 fn recently_answered_request_is_not_suspected_of_a_crash() {
     let mut poison = Poison::default();
-    poison.answered(REQUEST, RunKey(5), at(0), at(1));
+    poison.record_answer(REQUEST, RunKey(5), at(0), at(1));
     (0..5).for_each(|run| crash(&mut poison, REQUEST, run, at(4_000)));
     assert!(!poison.is_convicted(REQUEST));
     (5..8).for_each(|run| crash(&mut poison, REQUEST, run, at(60_000)));
@@ -255,9 +259,9 @@
 fn target_that_answers_after_its_reported_crash_had_not_crashed() {
     let mut poison = convicted();
     let other = RequestKey(8);
-    poison.answered(other, RunKey(0), at(0), at(50));
+    poison.record_answer(other, RunKey(0), at(0), at(50));
     assert!(poison.is_convicted(REQUEST), "that request was not sent after the crash");
-    poison.answered(other, RunKey(0), at(60), at(70));
+    poison.record_answer(other, RunKey(0), at(60), at(70));
     assert!(!poison.is_convicted(REQUEST));
 }
 
@@ -272,7 +276,7 @@
 
     let mut poison = convicted();
     assert!(poison.begin_trial(REQUEST, at(6_000)));
-    poison.answered(REQUEST, RunKey(9), at(6_000), at(6_100));
+    poison.record_answer(REQUEST, RunKey(9), at(6_000), at(6_100));
     assert!(!poison.is_convicted(REQUEST));
 }
 
@@ -294,7 +298,7 @@
         // suspicion; a response follows in each round.
         let now = at(20_000 * n);
         (0..2).for_each(|k| crash(&mut poison, REQUEST, 2 * n + k, now));
-        poison.answered(REQUEST, RunKey(u64::MAX), now, now);
+        poison.record_answer(REQUEST, RunKey(u64::MAX), now, now);
         let sent = poison.take_unsent();
         assert!(sent.iter().all(|item| item.crashes.len() + item.cleared.len() <= 40), "{sent:?}");
     }
--- a/crates/tansyknot-fleet/tests/support/crashes.rs
+++ b/crates/tansyknot-fleet/tests/support/crashes.rs
@@ -242,7 +242,9 @@
         }
         {
             let mut poison = node.state.poison();
-            if poison.cut_off(sent.key, RunKey(run), sent.opened_at, now) == CheckState::Due {
+            if poison.record_early_close(sent.key, RunKey(run), sent.opened_at, now)
+                == CheckState::Due
+            {
                 poison.record_check(RunKey(run), presence, now);
             }
         }
@@ -340,7 +342,7 @@
             }
             let node = &self.network.nodes[sent.daemon];
             if self.daemon_faults.epoch(sent.daemon) == sent.epoch && node.runs_at(now) {
-                node.state.poison().answered(sent.key, RunKey(sent.run), sent.opened_at, now);
+                node.state.poison().record_answer(sent.key, RunKey(sent.run), sent.opened_at, now);
             }
         }
     }
--- a/crates/tansyknot-fleet/tests/support/leaving.rs
+++ b/crates/tansyknot-fleet/tests/support/leaving.rs
@@ -364,7 +364,7 @@
                 self.left.iter().filter(|(_, (at, is_stable))| *is_stable && is_late(at));
             if let Some((name, (at, _))) = late.find(|(name, _)| is_ready(name)) {
                 let ms = now.since(*at).as_millis();
-                let known = self.network.nodes[n].state.planner_view().known(now);
+                let known = self.network.nodes[n].state.planner_view().received_state(now);
                 let status = if fleet.retained().any(|retained| retained == name) {
                     "retained"
                 } else {
--- a/crates/tansyknot-fleet/tests/support/network.rs
+++ b/crates/tansyknot-fleet/tests/support/network.rs
@@ -221,7 +221,7 @@
             reluctance,
         );
         let keeper = Arc::new(keeper);
-        let orders = Arc::new(TaskRunner {
+        let task_runner = Arc::new(TaskRunner {
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
@@ -235,7 +235,7 @@
         let socket = Arc::new(Socket { clock, traffic, address });
         let link_mbps = Some(if has_good_link { 200 } else { 20 });
         let identity = DaemonIdentity { daemon, incarnation, address, zone, link_mbps };
-        let peer_node = Arc::new(PeerNode::new(Arc::clone(&state), orders, socket, identity));
+        let peer_node = Arc::new(PeerNode::new(Arc::clone(&state), task_runner, socket, identity));
         let has_read = Arc::new(AtomicBool::new(false));
         let poison = PoisonKeeper::new(Arc::clone(&state), Arc::clone(&store));
         let config = ConfigFollower::new(Arc::clone(&state), Arc::clone(&store));
@@ -386,7 +386,7 @@
         self.peer_node.grant_permits();
         // A write that fails is retried with the next step.
         self.poison.step(self.peer_node.is_planner());
-        let count = self.state.demand_changed.count();
+        let count = self.state.step_due.count();
         if now >= self.heartbeat_at {
             self.heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.peer_node.step(StepReason::Heartbeat);
--- a/crates/tansyknot-fleet/tests/support/signals.rs
+++ b/crates/tansyknot-fleet/tests/support/signals.rs
@@ -13,7 +13,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tansyknot_core::{clock::Time, name::TargetName};
 use tansyknot_fleet::{
-    backpressure::{Interval, Outcome, SignalField, Signals},
+    backpressure::{Interval, RunOutcome, SignalField, Signals},
     poison::key::RunKey,
     target::{StartTime, Target, TargetState},
 };
@@ -343,7 +343,7 @@
         &mut self,
         flight: &Flight,
         signals: &Signals,
-        outcome: Outcome,
+        outcome: RunOutcome,
         written: Time,
         now: Time,
     ) {
@@ -369,7 +369,7 @@
         if is_changed {
             state.notify_view_changed();
         }
-        self.result.served += usize::from(outcome == Outcome::Ran);
+        self.result.served += usize::from(outcome == RunOutcome::Ran);
         let run = RunKey::of(&flight.target);
         let target_run = self.target_runs.iter_mut().find(|a| RunKey::of(&a.entry) == run);
         let Some(target_run) = target_run else { return };
@@ -379,7 +379,7 @@
         let is_newer = flight.began
             > target_run.period().since.max(target_run.former_received_at + MAX_TRANSIT);
         let is_receipt =
-            is_newer && signals.limit != SignalField::Malformed && outcome == Outcome::Ran;
+            is_newer && signals.limit != SignalField::Malformed && outcome == RunOutcome::Ran;
         let by = flight.req.daemon;
         if is_receipt && self.daemon_faults.is_undisturbed(by, MIN_UNDISTURBED, now) {
             let period = target_run.periods.last_mut().expect("a run has a period from its start");
--- a/crates/tansyknot-fleet/tests/support/signals/request.rs
+++ b/crates/tansyknot-fleet/tests/support/signals/request.rs
@@ -9,7 +9,7 @@
 };
 use tansyknot_fleet::{
     backpressure::{
-        Outcome, PermitRequest, Permits, SignalField, Signals,
+        PermitRequest, Permits, RunOutcome, SignalField, Signals,
         pending::{Permit, Progress},
     },
     fleet::{Pick, TargetRequirements},
@@ -50,7 +50,7 @@
     /// The target prepares the head of its response.
     Responding,
     /// The head, written at this time, is on its way.
-    Responded(Signals, Outcome, Time),
+    Responded(Signals, RunOutcome, Time),
 }
 
 #[derive(Clone, Debug)]
@@ -249,10 +249,10 @@
                 let target_run = self.target_runs.iter().find(|a| RunKey::of(&a.entry) == run);
                 let Some(target_run) = target_run else { return self.unreachable(flight, now) };
                 let mut signals = target_run.signals();
-                let mut outcome = Outcome::Ran;
+                let mut outcome = RunOutcome::Ran;
                 if now < target_run.rejects_until {
                     signals.retry_delay = SignalField::Value(target_run.rejects_until.since(now));
-                    outcome = Outcome::NotRun;
+                    outcome = RunOutcome::NotRun;
                 }
                 if self.rng.random_bool(self.faults.malformed) {
                     signals.limit = SignalField::Malformed;
@@ -266,7 +266,7 @@
             }
             Stage::Responded(signals, outcome, written) => {
                 self.receive_response(&flight, &signals, outcome, written, now);
-                if outcome == Outcome::NotRun {
+                if outcome == RunOutcome::NotRun {
                     self.waiting.push(Request { permit: None, next_try_at: now, ..flight.req });
                 }
             }
--- a/crates/tansyknot-fleet/tests/support/teams.rs
+++ b/crates/tansyknot-fleet/tests/support/teams.rs
@@ -360,12 +360,12 @@
         let units = self.rng.random_range(0.3..1.7) * MEAN_REQUEST_UNITS;
         let has_room = self.ledgers[team].has_room(units, now);
         let node = &self.network.nodes[daemon];
-        let number = node.state.pending().begin(&name(team), units, now);
-        let unanswered_for = node.state.pending().unanswered_for(now);
+        let number = node.state.pending_quotas().begin(&name(team), units, now);
+        let unanswered_for = node.state.pending_quotas().unanswered_for(now);
         let draw = self.rng.random();
         let is_lent = unanswered_for >= UNRESPONSIVE_AFTER
             && !node.peer_node.is_planner()
-            && node.state.pending().take_lent(&name(team), units, draw, now);
+            && node.state.pending_quotas().take_lent(&name(team), units, draw, now);
         let verdict = match is_lent {
             true => None,
             false => node.peer_node.request_quota(number, &name(team), units),
@@ -401,7 +401,7 @@
                 self.waiting.push(w);
                 continue;
             }
-            let reply = node.state.pending().verdict(w.number);
+            let reply = node.state.pending_quotas().verdict(w.number);
             if let Some(verdict) = reply.filter(|verdict| *verdict != Verdict::Later) {
                 self.end(&w, verdict);
                 continue;
@@ -413,16 +413,18 @@
             let draw = self.rng.random();
             let was_deferred = reply.is_some() || w.is_deferred;
             (w.is_deferred, w.sent_at) = (false, now);
-            node.state.pending().clear_verdict(w.number);
-            if !was_deferred && node.state.pending().take_lent(&name(w.team), w.units, draw, now) {
-                node.state.pending().end(w.number);
+            node.state.pending_quotas().clear_verdict(w.number);
+            if !was_deferred
+                && node.state.pending_quotas().take_lent(&name(w.team), w.units, draw, now)
+            {
+                node.state.pending_quotas().end(w.number);
                 self.record_admitted(&w);
                 continue;
             }
-            let unanswered_for = node.state.pending().unanswered_for(now);
+            let unanswered_for = node.state.pending_quotas().unanswered_for(now);
             if now.since(w.arrived) >= share::SHARE_LIFETIME || unanswered_for >= MAX_PLANNER_OUTAGE
             {
-                node.state.pending().end(w.number);
+                node.state.pending_quotas().end(w.number);
                 self.record_refused(&w);
                 continue;
             }
@@ -440,7 +442,7 @@
     fn end(&mut self, w: &Waiting, verdict: Verdict) {
         let now = self.now();
         let node = &self.network.nodes[w.daemon];
-        let mut pending = node.state.pending();
+        let mut pending = node.state.pending_quotas();
         pending.end(w.number);
         match verdict {
             Verdict::Granted => {
@@ -450,7 +452,7 @@
                 if self.rng.random_bool(0.1) {
                     let node = &self.network.nodes[w.daemon];
                     let (team, taken) = (name(w.team), w.arrived);
-                    node.state.pending().give_back(&team, w.units, taken, now);
+                    node.state.pending_quotas().give_back(&team, w.units, taken, now);
                 } else {
                     self.record_admitted(w);
                 }
--- a/crates/tansyknotd/src/fleet.rs
+++ b/crates/tansyknotd/src/fleet.rs
@@ -100,7 +100,7 @@
             options,
             reluctance(settings),
         ));
-        let orders = Arc::new(TaskRunner {
+        let task_runner = Arc::new(TaskRunner {
             state: Arc::clone(&state),
             keeper: Arc::clone(&keeper),
             lease: Arc::clone(&lease),
@@ -119,7 +119,7 @@
             link_mbps: settings.link_mbps.map(|mbps| mbps as u32),
         };
         let peer_node =
-            PeerNode::new(Arc::clone(&state), orders, Arc::clone(&socket) as _, identity);
+            PeerNode::new(Arc::clone(&state), task_runner, Arc::clone(&socket) as _, identity);
         let peer_node = Arc::new(peer_node);
         let lifecycle = Arc::new(Lifecycle::default());
         let targets_known = Arc::new(AtomicBool::new(false));
--- a/crates/tansyknotd/src/fleet/store_polling.rs
+++ b/crates/tansyknotd/src/fleet/store_polling.rs
@@ -131,7 +131,7 @@
 /// Waits until the planner's next poll of the list; the wait is shorter while a load is due.
 fn pause_planner(state: &State, peer_node: &PeerNode) {
     let started_at = BootInstant::now();
-    let mut seen = state.demand_changed.count();
+    let mut seen = state.step_due.count();
     loop {
         let poll_interval = state.freshness.list_poll_interval;
         let interval = if peer_node.awaits_load() {
@@ -143,7 +143,7 @@
         if time_left.is_zero() {
             return;
         }
-        seen = state.demand_changed.wait(seen, time_left);
+        seen = state.step_due.wait(seen, time_left);
     }
 }
 
