--- a/crates/tansyknot-fleet/src/access/share.rs
+++ b/crates/tansyknot-fleet/src/access/share.rs
@@ -8,8 +8,8 @@
 /// After this long without a reply, a daemon uses its share without waiting for the planner. After
 /// this long without a report, the planner begins to charge a daemon for its share.
 pub const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(700);
-/// How long a share may be used, counted from when the daemon asked for it. A lost planner is
-/// replaced within this time.
+/// How long a share may be used, counted from when the daemon sent the report that requested it. A
+/// lost planner is usually replaced within this time.
 pub const SHARE_LIFETIME: Duration = Duration::from_millis(2300);
 /// The longest time for which unused units of a share accumulate.
 const MAX_SAVED: Duration = Duration::from_millis(150);
--- a/crates/tansyknot-fleet/src/peering/quota.rs
+++ b/crates/tansyknot-fleet/src/peering/quota.rs
@@ -21,7 +21,8 @@
 /// small host may add tens of milliseconds.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A lost planner is replaced within this time. A daemon that receives no reply for longer is
+/// Requests no longer wait for the planner once it has replied to no usage report that was sent
+/// within this time. Replacing a lost planner usually takes less, so the daemon is probably
 /// disconnected from the planner, and other daemons can serve its requests.
 pub const MAX_PLANNER_OUTAGE: Duration = Duration::from_millis(3300);
 /// Maximum age of the planner's view of the configuration for it to enforce quotas: several of its
--- a/crates/tansyknot-fleet/src/serve/access.rs
+++ b/crates/tansyknot-fleet/src/serve/access.rs
@@ -16,8 +16,8 @@
     platform_api::{RequestParams, RequestSender},
 };
 
-/// Maximum wait for the planner, which keeps the quota accounts; a lost planner is replaced by
-/// then.
+/// Maximum wait of a request for the planner, which keeps the quota accounts. A lost planner is
+/// usually replaced by then.
 const MAX_QUOTA_WAIT: Duration = Duration::from_millis(2300);
 /// Maximum share of a request's time limit spent waiting for the quota decision.
 const MAX_QUOTA_WAIT_SHARE: f64 = 0.3;
