--- a/crates/tansyknot-cli/src/args.rs
+++ b/crates/tansyknot-cli/src/args.rs
@@ -149,7 +149,8 @@
 /// Arguments of `explain`.
 #[derive(Debug, ClapArgs)]
 pub(crate) struct ExplainArgs {
-    /// The `x-request-id` of the response, or the caller's request id on the users' platform.
+    /// The `x-request-id` of the response; for daemons that serve a fleet, the `Attempt-Id` that
+    /// the caller sent.
     pub(crate) request: String,
     /// Read these log files instead of querying the daemons.
     #[arg(long, value_name = "FILE", num_args = 1..)]
--- a/crates/tansyknotd/src/main.rs
+++ b/crates/tansyknotd/src/main.rs
@@ -22,7 +22,7 @@
 /// The exit code after a drain that aborted requests in flight.
 const EXIT_ABORTED: u8 = 3;
 
-/// The tansyknot daemon. Every entry host runs one; all have the same role.
+/// The tansyknot daemon. Each host that serves callers runs one; all have the same role.
 #[derive(Parser)]
 #[command(
     version,
